--- a/core/source/chooser.go
+++ b/core/source/chooser.go
@@ -7,207 +7,223 @@
 	"github.com/agateway/agateway/core/rendezvous"
 )
 
-// Choice is whom to ask.
+// Choice is the source to ask next.
 type Choice struct {
-	// Peer is the instance to follow; empty for the store itself.
+	// Peer is the instance to ask; empty for the store itself.
 	Peer string
-	// Patience is how long the store may take, besides what the call waits for. It is 0 for an instance.
-	Patience time.Duration
-	// Probe tells that the store is asked to find out whether it answers: the call should not wait.
+	// Timeout is the time that the store has for an answer, in addition to the wait that the call
+	// asks for. It is 0 when Peer is set.
+	Timeout time.Duration
+	// Probe is set when the call only finds out whether the store answers; it should not wait for
+	// changes.
 	Probe bool
 }
 
-// Chooser is the state of one instance.
+// Chooser holds what one instance knows of the store and its peers.
 type Chooser struct {
-	set Settings
-	// cutOff tells that the store did not answer the last call to it.
-	cutOff bool
-	// failures counts its failures in a row, and triedAt is when it was asked last while it failed.
-	failures int
-	triedAt  time.Duration
-	// took is how long its last answer took, and answeredAt when that came.
-	took, answeredAt time.Duration
-	// doubting tells that this instance would ask the store, but doubts that it is answered.
-	doubting bool
-	// starting tells that no instance is ready: the whole fleet starts, and those that know nothing yet are followed.
-	starting bool
-	// silent and useless hold until when instances are left out.
-	silent, useless map[string]time.Duration
-}
-
-// New returns a chooser that takes the store for reachable.
+	settings Settings
+	// unreachable is set when the store did not answer the last call.
+	unreachable bool
+	// storeFailures counts the failed calls to the store in a row. triedAt is when the store last
+	// failed or was probed, or when storeDoubtful was set; the next probe counts from it.
+	storeFailures int
+	triedAt       time.Duration
+	// storeLatency is how long the last answer of the store took; storeAnsweredAt is when it came.
+	storeLatency, storeAnsweredAt time.Duration
+	// storeDoubtful is set while this instance is a root but expects no answer from the store; see
+	// chooseAsRoot.
+	storeDoubtful bool
+	// fleetStarting is set while no peer is ready. Peers without data are followed then.
+	fleetStarting bool
+	// failedPeers and stalePeers map excluded instances to the end of their exclusion.
+	failedPeers, stalePeers map[string]time.Duration
+}
+
+// New returns a chooser that assumes the store to be reachable.
 func New(s Settings) *Chooser {
-	return &Chooser{set: s, silent: map[string]time.Duration{}, useless: map[string]time.Duration{}}
+	return &Chooser{settings: s, failedPeers: map[string]time.Duration{}, stalePeers: map[string]time.Duration{}}
 }
 
-// Access tells whether the store answers this instance.
+// Access returns whether the store answers this instance.
 func (c *Chooser) Access(now time.Duration) Access {
 	switch {
-	case c.cutOff:
-		return CutOff
-	case c.answeredAt > 0 && now-c.answeredAt < c.set.ProbeFirst:
-		return Answered
+	case c.unreachable:
+		return StoreUnreachable
+	case c.storeAnsweredAt > 0 && now-c.storeAnsweredAt < c.settings.MinProbeInterval:
+		return StoreReachable
 	}
-	return Unknown
+	return StoreUnknown
 }
 
-// StoreAnswered records an answer of the store. took is how long it took, less the time that the call itself waited.
-func (c *Chooser) StoreAnswered(now, took time.Duration) {
-	c.cutOff, c.failures, c.took, c.answeredAt = false, 0, took, now
+// StoreAnswered records an answer of the store. latency is the time it took, less the wait that the
+// call asked for.
+func (c *Chooser) StoreAnswered(now, latency time.Duration) {
+	c.unreachable, c.storeFailures, c.storeLatency, c.storeAnsweredAt = false, 0, latency, now
 }
 
 // StoreFailed records that the store refused a call or did not answer it.
 func (c *Chooser) StoreFailed(now time.Duration) {
-	c.cutOff, c.triedAt = true, now
-	c.failures++
+	c.unreachable, c.triedAt = true, now
+	c.storeFailures++
 }
 
-// PeerSilent records that an instance did not answer.
-func (c *Chooser) PeerSilent(now time.Duration, id string) { c.silent[id] = now + c.set.LeftOut }
+// PeerFailed records that an instance did not answer.
+func (c *Chooser) PeerFailed(now time.Duration, id string) {
+	c.failedPeers[id] = now + c.settings.ExclusionPeriod
+}
 
-// PeerUseless records that an instance answered, but is cut off itself or knows nothing fresh.
-func (c *Chooser) PeerUseless(now time.Duration, id string) { c.useless[id] = now + c.set.LeftOut }
+// PeerStale records that an instance answered, but has no fresh data or can't reach the store.
+func (c *Chooser) PeerStale(now time.Duration, id string) {
+	c.stalePeers[id] = now + c.settings.ExclusionPeriod
+}
 
-// Choose returns whom to ask now. peers are the other instances that are alive, and chance is a random number from 0
-// to 1.
-func (c *Chooser) Choose(now time.Duration, peers []Peer, chance float64) Choice {
-	c.readmit(now)
-	c.starting = !slices.ContainsFunc(peers, func(p Peer) bool { return p.Ready })
-	if c.cutOff && c.probeDue(now, peers) {
+// Choose returns the source to ask now. peers are the other instances that are alive; random is a
+// random number between 0 and 1.
+func (c *Chooser) Choose(now time.Duration, peers []Peer, random float64) Choice {
+	c.expireExclusions(now)
+	c.fleetStarting = !slices.ContainsFunc(peers, func(p Peer) bool { return p.Ready })
+	if c.unreachable && c.probeDue(now, peers) {
 		return c.probe(now)
 	}
-	near := c.ranked(peers, func(p *Peer) bool { return c.near(p) && c.follows(p) }, !c.cutOff)
+	regionTree := c.treeOf(peers, func(p *Peer) bool { return c.sameRegion(p) && c.canFollow(p) }, !c.unreachable)
 	switch {
-	case c.asksStore(near):
-		return c.asRoot(now, peers)
-	case len(near) > 0:
-		c.doubting = false
-		return Choice{Peer: c.above(near)}
+	case c.isRoot(regionTree):
+		return c.chooseAsRoot(now, peers)
+	case len(regionTree) > 0:
+		c.storeDoubtful = false
+		return Choice{Peer: c.parent(regionTree)}
 	}
-	if far := c.far(peers); len(far) > 0 {
-		return c.anyOf(far)
+	if elsewhere := c.otherRegions(peers); len(elsewhere) > 0 {
+		return c.pickByHash(elsewhere)
 	}
-	all := c.ranked(peers, c.near, true)
-	if c.asksStore(all) || chance < c.set.OwnTry {
-		return Choice{Patience: c.patience()}
+	wholeRegion := c.treeOf(peers, c.sameRegion, true)
+	if c.isRoot(wholeRegion) || random < c.settings.StoreProbability {
+		return Choice{Timeout: c.storeTimeout()}
 	}
-	return Choice{Peer: c.above(all)}
-}
-
-// asRoot asks the store, on behalf of all that follow this instance. Where the store does not answer another instance of
-// the region, it may not answer this one either: unless it did so lately, this instance follows one of another region that
-// is answered, and probes the store meanwhile. Otherwise a region that is cut off as a whole would hear nothing until each
-// of its instances had found out for itself.
-func (c *Chooser) asRoot(now time.Duration, peers []Peer) Choice {
-	doubtful := c.Access(now) != Answered && slices.ContainsFunc(peers, func(p Peer) bool { return c.near(&p) && p.Store == CutOff })
-	answered := c.farAnswered(peers)
-	if !doubtful || len(answered) == 0 {
-		c.doubting = false
-		return Choice{Patience: c.patience()}
+	return Choice{Peer: c.parent(wholeRegion)}
+}
+
+// chooseAsRoot returns the source of an instance that reads the store for its followers. If the
+// store does not answer another instance of the region and has not answered this one lately, it may
+// be unreachable for the whole region. Then this instance follows one of another region that the
+// store answers, and probes the store meanwhile. Otherwise, when a region loses the store, it would
+// get no data until each of its instances had found out for itself.
+func (c *Chooser) chooseAsRoot(now time.Duration, peers []Peer) Choice {
+	doubtful := c.Access(now) != StoreReachable && slices.ContainsFunc(peers, func(p Peer) bool { return c.sameRegion(&p) && p.StoreAccess == StoreUnreachable })
+	reachable := c.reachableElsewhere(peers)
+	if !doubtful || len(reachable) == 0 {
+		c.storeDoubtful = false
+		return Choice{Timeout: c.storeTimeout()}
 	}
-	if !c.doubting {
-		c.doubting, c.triedAt = true, now
+	if !c.storeDoubtful {
+		c.storeDoubtful, c.triedAt = true, now
 	}
-	if now >= c.triedAt+c.set.ProbeFirst {
+	if now >= c.triedAt+c.settings.MinProbeInterval {
 		return c.probe(now)
 	}
-	return c.anyOf(answered)
+	return c.pickByHash(reachable)
 }
 
-// far returns the instances of other regions that are worth following: those that the store answers, or any.
-func (c *Chooser) far(peers []Peer) tree {
-	if answered := c.farAnswered(peers); len(answered) > 0 {
-		return answered
+// otherRegions returns the instances of other regions that can be followed: those that the store
+// answers or, if there are none, all.
+func (c *Chooser) otherRegions(peers []Peer) tree {
+	if reachable := c.reachableElsewhere(peers); len(reachable) > 0 {
+		return reachable
 	}
-	return c.ranked(peers, func(p *Peer) bool { return !c.near(p) && c.follows(p) }, false)
+	return c.treeOf(peers, func(p *Peer) bool { return !c.sameRegion(p) && c.canFollow(p) }, false)
 }
 
-func (c *Chooser) farAnswered(peers []Peer) tree {
-	return c.ranked(peers, func(p *Peer) bool { return !c.near(p) && c.follows(p) && p.Store == Answered }, false)
+// reachableElsewhere returns the instances of other regions that can be followed and that the store
+// answers.
+func (c *Chooser) reachableElsewhere(peers []Peer) tree {
+	return c.treeOf(peers, func(p *Peer) bool { return !c.sameRegion(p) && c.canFollow(p) && p.StoreAccess == StoreReachable }, false)
 }
 
-// probe asks the store whether it answers, once for all that is followed.
+// probe returns a call that finds out whether the store answers, and restarts the probe interval.
 func (c *Chooser) probe(now time.Duration) Choice {
 	c.triedAt = now
-	return Choice{Patience: c.patience(), Probe: true}
+	return Choice{Timeout: c.storeTimeout(), Probe: true}
 }
 
-// anyOf chooses one of some instances by a hash, so that those which follow outside of their own tree spread evenly.
-func (c *Chooser) anyOf(some tree) Choice {
-	ids := make([]string, len(some))
-	for i := range some {
-		ids[i] = some[i].ID
+// pickByHash returns one of the candidates by a hash of this instance, so that instances which
+// follow outside of their own tree are spread evenly.
+func (c *Chooser) pickByHash(candidates tree) Choice {
+	ids := make([]string, len(candidates))
+	for i := range candidates {
+		ids[i] = candidates[i].ID
 	}
-	return Choice{Peer: rendezvous.Rank(c.set.Self, ids, 1)[0]}
+	return Choice{Peer: rendezvous.Rank(c.settings.Self, ids, 1)[0]}
 }
 
-// near tells whether an instance is of the own region.
-func (c *Chooser) near(p *Peer) bool { return p.Region == c.set.Region }
+// sameRegion reports whether an instance is in this instance's region.
+func (c *Chooser) sameRegion(p *Peer) bool { return p.Region == c.settings.Region }
 
-// readmit lets instances be asked again that were left out for long enough.
-func (c *Chooser) readmit(now time.Duration) {
-	for _, out := range []map[string]time.Duration{c.silent, c.useless} {
-		for id, until := range out {
+// expireExclusions lets instances be asked again whose exclusion has ended.
+func (c *Chooser) expireExclusions(now time.Duration) {
+	for _, excluded := range []map[string]time.Duration{c.failedPeers, c.stalePeers} {
+		for id, until := range excluded {
 			if now >= until {
-				delete(out, id)
+				delete(excluded, id)
 			}
 		}
 	}
 }
 
-// follows tells whether an instance is worth following. While the whole fleet starts, those that are not ready are: they
-// let their followers wait until they know something, so that one instance asks the store and not each of them.
-func (c *Chooser) follows(p *Peer) bool {
-	return (p.Ready || c.starting) && p.Store != CutOff && c.useless[p.ID] == 0
+// canFollow reports whether an instance may be followed. While the whole fleet starts, instances
+// that are not ready may be: they let their followers wait until they have data, so that one
+// instance asks the store instead of each of them.
+func (c *Chooser) canFollow(p *Peer) bool {
+	return (p.Ready || c.fleetStarting) && p.StoreAccess != StoreUnreachable && c.stalePeers[p.ID] == 0
 }
 
-// probeDue tells whether an instance that is cut off asks the store again. One that would ask it for all does so
-// often.
+// probeDue reports whether an instance that the store does not answer asks it again. The first in
+// rank of a region do so at the shortest interval, since they would read for all others.
 func (c *Chooser) probeDue(now time.Duration, peers []Peer) bool {
-	wait := min(c.set.ProbeFirst<<min(c.failures-1, 10), c.set.ProbeMost)
-	if wait > c.set.ProbeFirst {
-		if c.asksStore(c.ranked(peers, c.near, true)) {
-			wait = c.set.ProbeFirst
+	interval := min(c.settings.MinProbeInterval<<min(c.storeFailures-1, 10), c.settings.MaxProbeInterval)
+	if interval > c.settings.MinProbeInterval {
+		if c.isRoot(c.treeOf(peers, c.sameRegion, true)) {
+			interval = c.settings.MinProbeInterval
 		}
 	}
-	return now >= c.triedAt+wait
+	return now >= c.triedAt+interval
 }
 
-// ranked returns the tree of the instances that fit, with this one where self is set.
-func (c *Chooser) ranked(peers []Peer, fits func(*Peer) bool, self bool) tree {
-	some := make([]Peer, 0, len(peers)+1)
+// treeOf returns the tree of the peers for which include is true. Peers that failed are left out;
+// this instance is added if includeSelf is set.
+func (c *Chooser) treeOf(peers []Peer, include func(*Peer) bool, includeSelf bool) tree {
+	members := make([]Peer, 0, len(peers)+1)
 	for i := range peers {
-		if c.silent[peers[i].ID] == 0 && fits(&peers[i]) {
-			some = append(some, peers[i])
+		if c.failedPeers[peers[i].ID] == 0 && include(&peers[i]) {
+			members = append(members, peers[i])
 		}
 	}
-	if self {
-		some = append(some, Peer{ID: c.set.Self, DataCentre: c.set.DataCentre, Link: c.set.Link})
+	if includeSelf {
+		members = append(members, Peer{ID: c.settings.Self, DataCentre: c.settings.DataCentre, LinkMbps: c.settings.LinkMbps})
 	}
-	return rank(some)
+	return rank(members)
 }
 
-// asksStore tells whether this instance is among the first of a tree.
-func (c *Chooser) asksStore(t tree) bool {
-	at := t.place(c.set.Self)
-	return at >= 0 && at < c.set.Roots
+// isRoot reports whether this instance is among the first of a tree, which ask the store.
+func (c *Chooser) isRoot(t tree) bool {
+	index := t.indexOf(c.settings.Self)
+	return index >= 0 && index < c.settings.Roots
 }
 
-// above returns whom this instance follows in a tree.
-func (c *Chooser) above(t tree) string { return t.above(&c.set) }
+// parent returns the instance that this one follows in a tree.
+func (c *Chooser) parent(t tree) string { return t.parentOfSelf(&c.settings) }
 
-// slowFactor times the store's last answer is what the next one may take: one that has become slow is not given
-// up for it.
-const slowFactor = 3
+// timeoutPerLatency times the latency of the store's last answer is the least time that the next
+// answer gets, so that a store which has become slow is not taken for unreachable.
+const timeoutPerLatency = 3
 
-// patience returns how long the store may take.
-func (c *Chooser) patience() time.Duration {
-	p := max(c.set.PatienceLeast, slowFactor*c.took)
-	if c.failures > 0 {
-		p = max(p, min(c.set.PatienceLeast<<min(c.failures, 10), c.set.PatienceFailing))
+// storeTimeout returns how long the store may take for the next answer.
+func (c *Chooser) storeTimeout() time.Duration {
+	timeout := max(c.settings.MinTimeout, timeoutPerLatency*c.storeLatency)
+	if c.storeFailures > 0 {
+		timeout = max(timeout, min(c.settings.MinTimeout<<min(c.storeFailures, 10), c.settings.MaxFailingTimeout))
 	}
-	return min(p, c.set.PatienceMost)
+	return min(timeout, c.settings.MaxTimeout)
 }
 
-// Took returns how long the store's last answer to this instance took.
-func (c *Chooser) Took() time.Duration { return c.took }
+// StoreLatency returns how long the store's last answer to this instance took.
+func (c *Chooser) StoreLatency() time.Duration { return c.storeLatency }
--- a/core/source/chooser_test.go
+++ b/core/source/chooser_test.go
@@ -10,18 +10,19 @@
 	"github.com/agateway/agateway/core/rendezvous"
 )
 
-// fleet is instances that choose in virtual time; each hears of all others at once.
+// fleet is a set of instances that choose their sources in virtual time. Each sees the state of all
+// others at once.
 type fleet struct {
 	now      time.Duration
 	ids      []string
 	choosers map[string]*Chooser
 	peers    map[string]*Peer
-	// unreachable are the instances that the store does not answer, dead those that answer nobody.
+	// unreachable are the instances that the store does not answer; dead ones answer no one.
 	unreachable, dead map[string]bool
 	storeCalls        int
 }
 
-// newFleet returns a fleet whose instances are spread over some regions.
+// newFleet returns a fleet whose instances are spread evenly over the regions.
 func newFleet(instances, regions int) *fleet {
 	f := &fleet{choosers: map[string]*Chooser{}, peers: map[string]*Peer{}, unreachable: map[string]bool{}, dead: map[string]bool{}}
 	for i := range instances {
@@ -35,6 +36,7 @@
 	return f
 }
 
+// others returns the peers of an instance that are not dead.
 func (f *fleet) others(id string) []Peer {
 	var out []Peer
 	for _, other := range f.ids {
@@ -45,7 +47,7 @@
 	return out
 }
 
-// step lets each instance ask once, whom it chooses. Knowledge is what the store told this step.
+// step advances the time by one watch and lets each instance ask its source once.
 func (f *fleet) step() {
 	f.now += 900 * time.Millisecond
 	for _, id := range f.ids {
@@ -53,10 +55,11 @@
 			continue
 		}
 		f.ask(id)
-		f.peers[id].Store = f.choosers[id].Access(f.now)
+		f.peers[id].StoreAccess = f.choosers[id].Access(f.now)
 	}
 }
 
+// ask lets an instance choose a source and reports the outcome to its chooser.
 func (f *fleet) ask(id string) {
 	c := f.choosers[id]
 	choice := c.Choose(f.now, f.others(id), 1)
@@ -68,20 +71,21 @@
 		f.storeCalls++
 		c.StoreAnswered(f.now, time.Millisecond)
 	case f.dead[choice.Peer]:
-		c.PeerSilent(f.now, choice.Peer)
-	case f.peers[choice.Peer].Store == CutOff:
-		c.PeerUseless(f.now, choice.Peer)
+		c.PeerFailed(f.now, choice.Peer)
+	case f.peers[choice.Peer].StoreAccess == StoreUnreachable:
+		c.PeerStale(f.now, choice.Peer)
 	}
 }
 
-// way follows the choices from an instance to the store; it returns how many instances are on it, and -1 when
-// they lead in a ring or to one that the store does not answer.
-func (f *fleet) way(id string) int {
+// hopsToStore follows the choices from an instance to the store and returns the number of instances
+// in between. It returns -1 if they form a cycle or end at an instance that the store does not
+// answer.
+func (f *fleet) hopsToStore(id string) int {
 	for n := range len(f.ids) {
-		probe := *f.choosers[id] // a look leaves no mark
-		choice := probe.Choose(f.now, f.others(id), 1)
-		if choice.Peer == "" && probe.cutOff { // a probe; it asks an instance right after
-			choice = probe.Choose(f.now, f.others(id), 1)
+		chooser := *f.choosers[id] // a copy, so that the choice has no effect
+		choice := chooser.Choose(f.now, f.others(id), 1)
+		if choice.Peer == "" && chooser.unreachable { // a probe; the next choice is an instance
+			choice = chooser.Choose(f.now, f.others(id), 1)
 		}
 		if choice.Peer == "" {
 			if f.unreachable[id] {
@@ -94,42 +98,44 @@
 	return -1
 }
 
-func (f *fleet) followers() map[string]int {
+// followerCounts returns how many instances follow each one.
+func (f *fleet) followerCounts() map[string]int {
 	out := map[string]int{}
 	for _, id := range f.ids {
 		if f.dead[id] {
 			continue
 		}
-		probe := *f.choosers[id]
-		if p := probe.Choose(f.now, f.others(id), 1).Peer; p != "" {
+		chooser := *f.choosers[id]
+		if p := chooser.Choose(f.now, f.others(id), 1).Peer; p != "" {
 			out[p]++
 		}
 	}
 	return out
 }
 
-// TestFewAskAndFewFollowOne: of any number of instances, one a region asks the store, at most eight follow
-// the same one, and the way up is short.
-func TestFewAskAndFewFollowOne(t *testing.T) {
-	for _, c := range []struct{ instances, regions, longest int }{{1, 1, 0}, {9, 3, 1}, {87, 3, 2}, {400, 9, 2}, {300, 1, 3}} {
+// Too many calls to the store, or followers of one instance, would make cost and load grow with the
+// fleet. One instance per region asks the store, no instance has more than eight followers, and the
+// path to the store is short.
+func TestOneRootPerRegionAndBoundedFollowers(t *testing.T) {
+	for _, c := range []struct{ instances, regions, maxHops int }{{1, 1, 0}, {9, 3, 1}, {87, 3, 2}, {400, 9, 2}, {300, 1, 3}} {
 		f := newFleet(c.instances, c.regions)
 		f.step()
 		f.storeCalls = 0
 		f.step()
 		assert.Equal(t, f.storeCalls, c.regions, "%d instances", c.instances)
 		for _, id := range f.ids {
-			way := f.way(id)
-			assert.Assert(t, way >= 0 && way <= c.longest, "%s of %d: %d", id, c.instances, way)
+			hops := f.hopsToStore(id)
+			assert.Assert(t, hops >= 0 && hops <= c.maxHops, "%s of %d: %d", id, c.instances, hops)
 		}
-		for id, n := range f.followers() {
-			assert.Assert(t, n <= DefaultSettings().Followers, "%d follow %s", n, id)
+		for id, n := range f.followerCounts() {
+			assert.Assert(t, n <= DefaultSettings().DefaultFollowers, "%d follow %s", n, id)
 		}
 	}
 }
 
-// TestCutOffInstancesAreLedAround: the store turns instances away, at times those that ask it. All the others,
-// and those turned away too, go on hearing from it, and it is hardly asked more often.
-func TestCutOffInstancesAreLedAround(t *testing.T) {
+// The store does not answer some instances, for one seed the roots themselves. All instances must
+// still get data, and the number of calls to the store must hardly rise.
+func TestInstancesWithoutStoreFollowOthers(t *testing.T) {
 	const instances, regions = 87, 3
 	for seed := range 8 {
 		f := newFleet(instances, regions)
@@ -147,42 +153,44 @@
 		for range steps {
 			f.step()
 			for _, id := range f.ids {
-				assert.Assert(t, f.way(id) >= 0, "seed %d: %s hears nothing", seed, id)
+				assert.Assert(t, f.hopsToStore(id) >= 0, "seed %d: %s gets no data", seed, id)
 			}
 		}
-		// Besides the roots, those that are cut off ask now and then: each every 2 s, then every 30 s.
+		// Besides the roots, unreachable instances probe: first after 2 s, later every 30 s.
 		assert.Assert(t, f.storeCalls < steps*regions*3, "seed %d: %d calls", seed, f.storeCalls)
 	}
 }
 
-// TestDeadInstancesAreLeftOut: an instance that answers nobody, though it is still listed, is left after one try.
-func TestDeadInstancesAreLeftOut(t *testing.T) {
+// An instance that does not answer may still be listed as alive. It must not be asked again during
+// ExclusionPeriod.
+func TestUnresponsivePeerIsExcluded(t *testing.T) {
 	f := newFleet(29, 1)
 	f.step()
 	root := rendezvous.Rank("source", f.ids, 1)[0]
-	c := f.choosers[other(f.ids, root)]
-	peers := f.others(c.set.Self)
+	c := f.choosers[firstExcept(f.ids, root)]
+	peers := f.others(c.settings.Self)
 	for i := range peers {
 		if peers[i].ID == root {
-			c.PeerSilent(f.now, root)
+			c.PeerFailed(f.now, root)
 		}
 	}
 	assert.Assert(t, c.Choose(f.now, peers, 1).Peer != root)
-	assert.Assert(t, c.Choose(f.now+DefaultSettings().LeftOut-1, peers, 1).Peer != root)
+	assert.Assert(t, c.Choose(f.now+DefaultSettings().ExclusionPeriod-1, peers, 1).Peer != root)
 }
 
-func other(ids []string, than string) string {
+// firstExcept returns the first id that differs from excluded.
+func firstExcept(ids []string, excluded string) string {
 	for _, id := range ids {
-		if id != than {
+		if id != excluded {
 			return id
 		}
 	}
 	return ""
 }
 
-// TestStoreAwayForAll: while the store answers nobody, one instance a region asks it. When it is back, all
-// hear from it again within a few calls.
-func TestStoreAwayForAll(t *testing.T) {
+// During an outage of the store, one instance per region keeps asking it and the others ask rarely.
+// After the outage all instances must get data again within a few calls.
+func TestStoreOutageForAll(t *testing.T) {
 	f := newFleet(87, 3)
 	f.step()
 	for _, id := range f.ids {
@@ -199,39 +207,40 @@
 	for range steps {
 		f.step()
 	}
-	// The first of each region in each step, and the others once in 30 s.
+	// The first of each region asks in each step, the others once in 30 s.
 	assert.Assert(t, f.storeCalls < steps*3+2*87, "%d calls", f.storeCalls)
 	clear(f.unreachable)
 	for range 3 {
 		f.step()
 		for _, id := range f.ids {
-			f.peers[id].Ready = f.peers[id].Store != CutOff
+			f.peers[id].Ready = f.peers[id].StoreAccess != StoreUnreachable
 		}
 	}
 	for _, id := range f.ids {
-		assert.Assert(t, f.way(id) >= 0, "%s hears nothing", id)
+		assert.Assert(t, f.hopsToStore(id) >= 0, "%s gets no data", id)
 	}
 }
 
-// TestOwnRegionFirst: an instance whose region has nobody to follow follows one of another one, and
-// comes back when there is.
-func TestOwnRegionFirst(t *testing.T) {
+// An instance whose region has none to follow follows one of another region, and returns once its
+// own region has one.
+func TestOwnRegionIsPreferred(t *testing.T) {
 	s := DefaultSettings()
 	s.Self, s.Region = "a", "r0"
 	c := New(s)
 	c.StoreFailed(0)
-	peers := []Peer{{ID: "b", Region: "r0", Ready: true, Store: CutOff}, {ID: "c", Region: "r1", Ready: true}, {ID: "d", Region: "r0"}}
+	peers := []Peer{{ID: "b", Region: "r0", Ready: true, StoreAccess: StoreUnreachable}, {ID: "c", Region: "r1", Ready: true}, {ID: "d", Region: "r0"}}
 	assert.Equal(t, c.Choose(1, peers, 1).Peer, "c")
-	peers[0].Store = Unknown
+	peers[0].StoreAccess = StoreUnknown
 	assert.Equal(t, c.Choose(1, peers, 1).Peer, "b")
-	peers[0].Store = CutOff
-	c.PeerUseless(1, "c")
-	assert.Assert(t, c.Choose(1, peers, 1).Peer != "c") // nobody is left: one of the own region asks for all
-	assert.Equal(t, c.Choose(2, peers, 0), Choice{Patience: time.Second})
+	peers[0].StoreAccess = StoreUnreachable
+	c.PeerStale(1, "c")
+	assert.Assert(t, c.Choose(1, peers, 1).Peer != "c") // no peer can be followed: one of the own region asks for all
+	assert.Equal(t, c.Choose(2, peers, 0), Choice{Timeout: time.Second})
 }
 
-// TestPatience: a slow store is given more time, one that fails too where there is no other way.
-func TestPatience(t *testing.T) {
+// A slow store gets more time for an answer, and so does a store that fails, since it may only be
+// slow.
+func TestStoreTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		took     time.Duration
@@ -251,13 +260,14 @@
 			for range c.failures {
 				chooser.StoreFailed(0)
 			}
-			assert.Equal(t, chooser.patience(), c.want)
+			assert.Equal(t, chooser.storeTimeout(), c.want)
 		})
 	}
 }
 
-// TestProbes: an instance that is cut off asks the store again, less and less often, the first in rank often.
-func TestProbes(t *testing.T) {
+// An instance that the store does not answer probes it at growing intervals, except for the first
+// in rank, which probes at the shortest interval.
+func TestProbeIntervals(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	first := rendezvous.Rank("source", ids, 1)[0]
 	for _, self := range ids {
@@ -284,31 +294,31 @@
 			assert.Equal(t, probes, 4) // after 2, 6, 14 and 30 s
 		}
 		c.StoreAnswered(time.Minute, 0)
-		assert.Assert(t, !c.cutOff)
+		assert.Assert(t, !c.unreachable)
 	}
 }
 
-// TestRegionsAskOnce: one instance of a region asks the store, and a region that the store turns away hears from it even
-// so.
-func TestRegionsAskOnce(t *testing.T) {
+// One instance per region asks the store. A region that the store does not answer still gets data
+// from another region.
+func TestOneStoreReaderPerRegion(t *testing.T) {
 	for _, c := range []struct{ instances, regions int }{{8, 2}, {9, 3}, {90, 4}, {295, 1}, {1000, 3}} {
 		f := newFleet(c.instances, c.regions)
 		f.step()
 		f.storeCalls = 0
 		f.step()
 		assert.Equal(t, f.storeCalls, c.regions, "%d instances", c.instances)
-		turnedAway := map[string]bool{}
+		unreachable := map[string]bool{}
 		for i, id := range f.ids {
-			assert.Assert(t, f.way(id) >= 0, "%s of %d", id, c.instances)
-			turnedAway[id] = c.regions > 1 && i%c.regions == 0
+			assert.Assert(t, f.hopsToStore(id) >= 0, "%s of %d", id, c.instances)
+			unreachable[id] = c.regions > 1 && i%c.regions == 0
 		}
-		f.unreachable = turnedAway
+		f.unreachable = unreachable
 		const settle = 6
 		for range settle {
 			f.step()
 		}
 		for _, id := range f.ids {
-			assert.Assert(t, f.way(id) >= 0, "%s of %d, with a region turned away", id, c.instances)
+			assert.Assert(t, f.hopsToStore(id) >= 0, "%s of %d, with a region that the store does not answer", id, c.instances)
 		}
 	}
 }
--- a/core/source/doc.go
+++ b/core/source/doc.go
@@ -1,22 +1,28 @@
-// Package source decides whom an instance asks for what the platform's store knows: the store itself, or
-// another instance that follows it.
+// Package source decides where an instance reads the platform's store from: from the store itself,
+// or from another instance that follows it.
 //
-// Each call to the store is counted and priced, and what all instances ask for is the same. So the instances of a region
-// form a tree, that of a data centre below the first of it. They are ranked by the bandwidth of their links and by a hash, which all agree on; the first few ask
-// the store, and each other one follows an instance that ranks before it. An instance has as many followers as its
-// link can serve. Since everybody follows upwards in one order, views of the fleet that differ can't close a ring, and
-// what an instance sends to its followers does not grow with the fleet. One region asks once however many data centres
-// it has: with one tree for two data centres, calls to the store led the prices of fleets in five.
+// Each call to the store is counted and charged, and all instances ask for the same data. So the
+// instances of a region form a tree, and the instances of a data centre follow the first one of that
+// data centre. Instances are ranked by the bandwidth of their links and then by a hash, so that all
+// agree on the order. The first few ask the store. Each other instance follows one that ranks before
+// it. The number of followers of an instance is bounded by its link.
 //
-// Contract: [Chooser.Choose] returns whom to ask next; the caller reports every outcome ([Chooser.StoreAnswered],
-// [Chooser.StoreFailed], [Chooser.PeerSilent], [Chooser.PeerUseless]) and tells the other instances when
-// [Chooser.Access] changes. Times are those of a clock that also runs while the machine is suspended.
+// Since every instance follows one that ranks before it, differing views of the fleet can't produce a
+// cycle, and the traffic of an instance to its followers does not grow with the fleet. A region asks
+// the store once however many data centres it has: with one tree for two data centres, calls to the
+// store were the largest cost of fleets in five.
 //
-// Failure modes. An instance that the store does not answer says so, leaves the tree and follows an instance of
-// it; where its region has none, one of another region. An instance that falls silent, or whose
-// knowledge is too old, is left out for a while, so the next in rank takes its place. While the store answers
-// nobody, one instance of each region goes on asking, and each other one does now and then, in case it
-// alone can reach it. While the whole fleet starts, those that know nothing yet are followed all the same.
+// Contract: [Chooser.Choose] returns the source to ask next. The caller reports every outcome
+// ([Chooser.StoreAnswered], [Chooser.StoreFailed], [Chooser.PeerFailed], [Chooser.PeerStale]) and
+// tells the other instances when [Chooser.Access] changes. Times are those of a clock that also runs
+// while the machine is suspended.
 //
-// It does no I/O and reads no clock, and is not safe for concurrent use.
+// Failure modes. An instance that the store does not answer announces it, leaves the tree and follows
+// a member of the tree; if its region has none, it follows an instance of another region. An instance
+// that does not answer, or whose data is too old, is excluded for a while, and the next in rank takes
+// its place. While the store answers no instance, one instance of each region goes on asking it. Each
+// other instance asks now and then, in case only that one can reach the store. While the whole fleet
+// starts, instances without data are followed too.
+//
+// The package does no I/O and reads no clock. A Chooser is not safe for concurrent use.
 package source
--- a/core/source/tree.go
+++ b/core/source/tree.go
@@ -7,12 +7,12 @@
 	"github.com/agateway/agateway/core/rendezvous"
 )
 
-// tree is the order in which instances follow each other: the first ask the store, and each other one follows one
-// that ranks before it.
+// tree is a list of instances in the order of their rank: the first ones ask the store, and each
+// other one follows an instance that ranks before it.
 type tree []Peer
 
-// rank orders instances: those with the widest links first, since they pass changes on to the most others, and those
-// with the same by a hash. All instances agree on the order without a word.
+// rank sorts instances by the bandwidth of their links, highest first, since those serve the most
+// followers. Equal links are ordered by a hash, so that all instances agree without coordination.
 func rank(peers []Peer) tree {
 	type weighted struct {
 		Peer
@@ -23,7 +23,7 @@
 		all[i] = weighted{peers[i], rendezvous.Weight("source", peers[i].ID)}
 	}
 	slices.SortFunc(all, func(a, b weighted) int {
-		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(b.weight, a.weight))
+		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(b.weight, a.weight))
 	})
 	for i := range all {
 		peers[i] = all[i].Peer
@@ -31,22 +31,24 @@
 	return peers
 }
 
-// place returns where an instance ranks; -1 when it is not in the tree.
-func (t tree) place(id string) int {
+// indexOf returns the position of an instance in the tree; -1 if it is not in it.
+func (t tree) indexOf(id string) int {
 	return slices.IndexFunc(t, func(p Peer) bool { return p.ID == id })
 }
 
-// above returns whom an instance follows. The first of each data centre follow each other, and the others follow those of
-// their own: what changes then crosses to each data centre once, and not to four in five of 295 instances.
-func (t tree) above(s *Settings) string {
+// parentOfSelf returns the instance that this one follows. The first instances of the data centres
+// form one tree; the others follow an instance of their own data centre. So a change crosses to
+// each data centre once. In a single tree over five data centres, it crossed to four in five of 295
+// instances.
+func (t tree) parentOfSelf(s *Settings) string {
 	heads, own := t.split(s.DataCentre)
 	if len(own) == 0 || own[0].ID == s.Self {
-		return heads.parent(s, heads.place(s.Self), s.Roots)
+		return heads.parent(s, heads.indexOf(s.Self), s.Roots)
 	}
-	return own.parent(s, own.place(s.Self), 1)
+	return own.parent(s, own.indexOf(s.Self), 1)
 }
 
-// split returns the first of each data centre, and all of one.
+// split returns the first instance of each data centre, and all instances of one data centre.
 func (t tree) split(dataCentre string) (heads, own tree) {
 	seen := map[string]bool{}
 	for _, p := range t {
@@ -61,26 +63,28 @@
 	return heads, own
 }
 
-// parent returns whom the instance at a place follows where the first few follow nobody. One that is not in the tree (-1)
-// follows as if it were last.
-func (t tree) parent(s *Settings, place, roots int) string {
-	if place < 0 {
-		place = len(t)
+// parent returns the instance that the one at index follows, where the first roots instances follow
+// none. An instance that is not in the tree (index -1) follows as if it were last.
+func (t tree) parent(s *Settings, index, roots int) string {
+	if index < 0 {
+		index = len(t)
 	}
-	// The followers of the first instance come right after the roots, those of the second after these, and so on.
-	last := roots
+	// The followers of the first instance come right after the roots, then those of the second, and
+	// so on.
+	end := roots
 	for i := range t {
-		if last += s.followers(t[i].Link); place < last {
+		if end += s.maxFollowers(t[i].LinkMbps); index < end {
 			return t[i].ID
 		}
 	}
 	return t[len(t)-1].ID
 }
 
-// followers returns how many instances may follow one with a link of some Mbit/s.
-func (s *Settings) followers(link int) int {
-	if link == 0 {
-		return s.Followers
+// maxFollowers returns how many instances may follow one with a link of linkMbps Mbit/s; 0 stands
+// for an unknown link.
+func (s *Settings) maxFollowers(linkMbps int) int {
+	if linkMbps == 0 {
+		return s.DefaultFollowers
 	}
-	return min(max(int(float64(link)/s.LinkShare), s.FollowersLeast), s.FollowersMost)
+	return min(max(int(float64(linkMbps)/s.FollowerMbps), s.MinFollowers), s.MaxFollowers)
 }
--- a/core/source/tree_test.go
+++ b/core/source/tree_test.go
@@ -7,61 +7,61 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWideLinksCarryTheMost: the pattern is a fleet of 295 of which 15 have ten times the bandwidth of the others. The
-// wide ones are the first in the tree, no small one is followed by more than its link serves within the time that a
-// change may take, and the way up stays short.
-func TestWideLinksCarryTheMost(t *testing.T) {
-	const instances, wide, wideLink, smallLink, mostOfSmall, longest = 295, 15, 200, 20, 8, 3
+// 15 of 295 instances have ten times the bandwidth of the others. They must come first in the tree,
+// an instance with a slow link must not get more followers than its link serves in time, and the
+// path to the store must stay short.
+func TestFastLinksServeMostFollowers(t *testing.T) {
+	const instances, fast, fastMbps, slowMbps, maxSlowFollowers, maxHops = 295, 15, 200, 20, 8, 3
 	f := newFleet(instances, 1)
 	for i, id := range f.ids {
-		link := smallLink
-		if i < wide {
-			link = wideLink
+		link := slowMbps
+		if i < fast {
+			link = fastMbps
 		}
-		f.peers[id].Link, f.choosers[id].set.Link = link, link
+		f.peers[id].LinkMbps, f.choosers[id].settings.LinkMbps = link, link
 	}
 	f.step()
-	ofWide := 0
-	for id, n := range f.followers() {
-		if f.peers[id].Link == wideLink {
-			ofWide += n
+	fastFollowers := 0
+	for id, n := range f.followerCounts() {
+		if f.peers[id].LinkMbps == fastMbps {
+			fastFollowers += n
 			continue
 		}
-		assert.Assert(t, n <= mostOfSmall, "%d follow %s", n, id)
+		assert.Assert(t, n <= maxSlowFollowers, "%d follow %s", n, id)
 	}
-	assert.Assert(t, ofWide >= 200, "%d follow one with a wide link", ofWide)
+	assert.Assert(t, fastFollowers >= 200, "%d follow an instance with a fast link", fastFollowers)
 	for _, id := range f.ids {
-		way := f.way(id)
-		assert.Assert(t, way >= 0 && way <= longest, "%s: %d", id, way)
-		if f.peers[id].Link == wideLink {
-			assert.Assert(t, way <= 1, "%s: %d", id, way)
+		hops := f.hopsToStore(id)
+		assert.Assert(t, hops >= 0 && hops <= maxHops, "%s: %d", id, hops)
+		if f.peers[id].LinkMbps == fastMbps {
+			assert.Assert(t, hops <= 1, "%s: %d", id, hops)
 		}
 	}
 }
 
-// TestFleetThatStartsAsksOnce: no instance knows anything yet. One of the region asks the store, all others follow it or
-// each other in the same tree as later.
-func TestFleetThatStartsAsksOnce(t *testing.T) {
+// While a fleet starts, no instance is ready. One instance must ask the store and the others follow
+// in the same tree as later; otherwise each of them would ask the store.
+func TestStartingFleetAsksStoreOnce(t *testing.T) {
 	f := newFleet(295, 1)
 	for _, p := range f.peers {
 		p.Ready = false
 	}
 	f.step()
 	assert.Equal(t, f.storeCalls, 1)
-	for id, n := range f.followers() {
-		assert.Assert(t, n <= DefaultSettings().Followers, "%d follow %s", n, id)
+	for id, n := range f.followerCounts() {
+		assert.Assert(t, n <= DefaultSettings().DefaultFollowers, "%d follow %s", n, id)
 	}
 }
 
-// TestTreeStaysWithinDataCentres: the pattern is a fleet in five data centres whose traffic between them is paid for. What
-// changes crosses to each of them once, the way up stays short, and all hear from the store also while the first of a
-// data centre is dead or cut off.
+// Traffic between data centres is charged. A change must cross to each of five data centres once,
+// over a short path, and all instances must get data when the first instance of a data centre is
+// dead or can't reach the store.
 func TestTreeStaysWithinDataCentres(t *testing.T) {
-	const instances, dataCentres, longest = 295, 5, 4
+	const instances, dataCentres, maxHops = 295, 5, 4
 	f := newFleet(instances, 1)
 	for i, id := range f.ids {
 		dc := fmt.Sprint("dc", i%dataCentres)
-		f.peers[id].DataCentre, f.choosers[id].set.DataCentre = dc, dc
+		f.peers[id].DataCentre, f.choosers[id].settings.DataCentre = dc, dc
 	}
 	f.step()
 	f.storeCalls = 0
@@ -70,8 +70,8 @@
 	crossing := func() []string {
 		var out []string
 		for _, id := range f.ids {
-			probe := *f.choosers[id]
-			if p := probe.Choose(f.now, f.others(id), 1).Peer; p != "" && !f.dead[id] && f.peers[p].DataCentre != f.peers[id].DataCentre {
+			chooser := *f.choosers[id]
+			if p := chooser.Choose(f.now, f.others(id), 1).Peer; p != "" && !f.dead[id] && f.peers[p].DataCentre != f.peers[id].DataCentre {
 				out = append(out, id)
 			}
 		}
@@ -80,8 +80,8 @@
 	heads := crossing()
 	assert.Equal(t, len(heads), dataCentres-1)
 	for _, id := range f.ids {
-		way := f.way(id)
-		assert.Assert(t, way >= 0 && way <= longest, "%s: %d", id, way)
+		hops := f.hopsToStore(id)
+		assert.Assert(t, hops >= 0 && hops <= maxHops, "%s: %d", id, hops)
 	}
 	f.dead[heads[0]], f.unreachable[heads[1]] = true, true
 	for range 3 {
@@ -90,7 +90,7 @@
 	assert.Equal(t, len(crossing()), dataCentres-1)
 	for _, id := range f.ids {
 		if !f.dead[id] {
-			assert.Assert(t, f.way(id) >= 0, "%s", id)
+			assert.Assert(t, f.hopsToStore(id) >= 0, "%s", id)
 		}
 	}
 }
--- a/gateway/exchange/fleet_test.go
+++ b/gateway/exchange/fleet_test.go
@@ -238,7 +238,7 @@
 	n := &node{index: i, log: log, uses: map[string]limits.Counted{}, view: routing.NewView(routing.DefaultSettings()), heard: map[string]map[string]limits.Counted{}}
 	n.ready.Store(true)
 	n.Exchange = New(Options{
-		Self: w.self(i), Conn: conn, Store: w.store, Ready: n.ready.Load, Access: func() source.Access { return source.Unknown },
+		Self: w.self(i), Conn: conn, Store: w.store, Ready: n.ready.Load, Access: func() source.Access { return source.StoreUnknown },
 		Endpoints: n, Crashes: &n.crashes, Uses: n.counted, Clock: func() time.Duration { return time.Since(w.began) + time.Hour },
 		Log: logrus.NewEntry(log), Scope: tally.NewTestScope("", nil),
 	})
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -252,13 +252,13 @@
 func (f *Front) sourceSettings() source.Settings {
 	s := source.DefaultSettings()
 	s.Self, s.DataCentre, s.Region = f.settings.Instance.ID, f.settings.Instance.DataCentre, f.settings.Instance.Region
-	s.Link = int(f.settings.Process.Link)
+	s.LinkMbps = int(f.settings.Process.Link)
 	s.Roots = f.settings.Store.Readers
 	if !f.settings.Mechanisms.Tree {
 		s.Roots = math.MaxInt
 	}
 	// Knowledge must not grow too old for keys while one call is waited for.
-	s.PatienceMost = max(min(f.settings.Store.Timeout, f.keyBound()-f.settings.WatchWait()), s.PatienceLeast)
+	s.MaxTimeout = max(min(f.settings.Store.Timeout, f.keyBound()-f.settings.WatchWait()), s.MinTimeout)
 	return s
 }
 
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -69,14 +69,14 @@
 	known := make([]source.Peer, len(others))
 	for i := range others {
 		p := &others[i]
-		known[i] = source.Peer{ID: p.ID, DataCentre: p.DataCentre, Region: p.Region, Ready: p.Ready, Store: p.Store, Link: p.Link}
+		known[i] = source.Peer{ID: p.ID, DataCentre: p.DataCentre, Region: p.Region, Ready: p.Ready, StoreAccess: p.Store, LinkMbps: p.Link}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock()
 	choice := r.chooser.Choose(now, known, rand.Float64())
 	if !choice.Probe && choice.Peer != r.follows {
-		r.Log.WithFields(logrus.Fields{"follows": choice.Peer, "before": r.follows, "cut_off": r.chooser.Access(now) == source.CutOff}).Info("source changed")
+		r.Log.WithFields(logrus.Fields{"follows": choice.Peer, "before": r.follows, "cut_off": r.chooser.Access(now) == source.StoreUnreachable}).Info("source changed")
 		r.follows = choice.Peer
 	}
 	return choice
@@ -135,7 +135,7 @@
 		return
 	}
 	r.Changed()
-	if access == source.CutOff {
+	if access == source.StoreUnreachable {
 		r.Mirror.Interrupt()
 	}
 }
--- a/gateway/relay/remote.go
+++ b/gateway/relay/remote.go
@@ -48,11 +48,11 @@
 func (r *remote) call(ctx context.Context, req *peerv1.WatchStoreRequest, timeout time.Duration) (platform.Page, error) {
 	resp, err := peers.Call(ctx, r.relay.Pool, r.address, timeout, watchStore, req)
 	if err != nil {
-		r.relay.report(func(c *source.Chooser, now time.Duration) { c.PeerSilent(now, r.id) })
+		r.relay.report(func(c *source.Chooser, now time.Duration) { c.PeerFailed(now, r.id) })
 		return platform.Page{}, platform.ErrUnavailable.Wrap(err, "no answer from instance %s", r.id)
 	}
 	if resp.Stale || resp.CutOff {
-		r.relay.report(func(c *source.Chooser, now time.Duration) { c.PeerUseless(now, r.id) })
+		r.relay.report(func(c *source.Chooser, now time.Duration) { c.PeerStale(now, r.id) })
 	}
 	if resp.Stale {
 		return platform.Page{}, platform.ErrUnavailable.New("the store does not answer instance %s", r.id)
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -24,7 +24,7 @@
 func (s *Server) WatchStore(ctx context.Context, r *connect.Request[peerv1.WatchStoreRequest]) (*connect.Response[peerv1.WatchStoreResponse], error) {
 	began := s.Relay.Clock()
 	page, err := s.ask(ctx, r.Msg)
-	out := &peerv1.WatchStoreResponse{CutOff: s.Relay.Access() == source.CutOff}
+	out := &peerv1.WatchStoreResponse{CutOff: s.Relay.Access() == source.StoreUnreachable}
 	switch {
 	case errorx.IsOfType(err, platform.ErrHistoryGone):
 		out.Gone = true
--- a/gateway/relay/store.go
+++ b/gateway/relay/store.go
@@ -26,7 +26,7 @@
 
 // List implements [follow.Store].
 func (s *store) List(ctx context.Context, kind string) (platform.Page, error) {
-	return s.call(ctx, 0, listPatience*s.choice.Patience, func(ctx context.Context) (platform.Page, error) {
+	return s.call(ctx, 0, listPatience*s.choice.Timeout, func(ctx context.Context) (platform.Page, error) {
 		return s.relay.Store.List(ctx, kind)
 	})
 }
@@ -36,7 +36,7 @@
 	if s.choice.Probe {
 		wait = min(wait, probeWait)
 	}
-	return s.call(ctx, wait, s.choice.Patience, func(ctx context.Context) (platform.Page, error) {
+	return s.call(ctx, wait, s.choice.Timeout, func(ctx context.Context) (platform.Page, error) {
 		return s.relay.Store.Watch(ctx, kind, since, wait)
 	})
 }
@@ -52,7 +52,7 @@
 		return page, err
 	}
 	if len(page.Objects) > 0 && wait > 0 { // it came at any time of the wait
-		s.relay.report(func(c *source.Chooser, now time.Duration) { c.StoreAnswered(now, c.Took()) })
+		s.relay.report(func(c *source.Chooser, now time.Duration) { c.StoreAnswered(now, c.StoreLatency()) })
 		return page, err
 	}
 	if took >= wait {
