--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -6,51 +6,54 @@
 type Settings struct {
 	// TTL is how long a lease lasts without renewal.
 	TTL time.Duration
-	// Margin is kept between the end that the holder sees and the one that others see.
+	// Margin is the part of TTL for which the holder no longer considers the lease valid while
+	// others still wait for its end.
 	Margin time.Duration
-	// Renew is the time between renewals.
-	Renew time.Duration
-	// Check is the time between looks at a lease that another holds.
-	Check time.Duration
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
+	// CheckInterval is the time between reads of a lease that another instance holds.
+	CheckInterval time.Duration
 }
 
 // DefaultSettings returns the settings used by the daemon.
 func DefaultSettings() Settings {
-	return Settings{TTL: 10 * time.Second, Margin: 2 * time.Second, Renew: 3 * time.Second, Check: 3 * time.Second}
+	return Settings{TTL: 10 * time.Second, Margin: 2 * time.Second, RenewInterval: 3 * time.Second, CheckInterval: 3 * time.Second}
 }
 
-// Object is the lease as the platform has it; version 0 is none.
+// Object is the lease as stored by the platform. Version 0 means that there is none.
 type Object struct {
 	Version uint64
 	Holder  string
-	// Nonce is drawn for each write, so that a writer knows its own after a lost answer.
+	// Nonce is random for each write, so that a writer recognizes its own write after a lost
+	// answer.
 	Nonce uint64
-	// Released tells that the holder gave it up.
+	// Released is set when the holder gave the lease up.
 	Released bool
 }
 
-// Result is what became of a call to the platform.
+// Result is the outcome of a call to the platform.
 type Result int
 
 // Results of a call.
 const (
-	// Done: the call was answered; the object goes along.
+	// Done means that the call was answered; the object is passed along.
 	Done Result = iota
-	// Conflict: the object has another version.
+	// Conflict means that the object has another version.
 	Conflict
-	// Uncertain: the answer to a write was lost.
+	// Uncertain means that the answer to a write was lost.
 	Uncertain
-	// Unavailable: the call had no effect.
+	// Unavailable means that the call had no effect.
 	Unavailable
 )
 
-// Action is something the caller has to carry out: [Read] or [Write].
+// Action is a call to the platform that the caller has to carry out: [Read] or [Write].
 type Action interface{ action() }
 
-// Read asks to read the lease's object and to report [Holder.Seen].
+// Read asks the caller to read the lease's object and to pass it to [Holder.ReportRead].
 type Read struct{}
 
-// Write asks to write the object if it has the version, and to report [Holder.Written].
+// Write asks the caller to write the object if its stored version is IfVersion, and to pass the
+// outcome to [Holder.ReportWrite].
 type Write struct {
 	Object    Object // without version
 	IfVersion uint64
@@ -59,65 +62,67 @@
 func (Read) action()  {}
 func (Write) action() {}
 
-// Holder is one instance's part in a lease.
+// Holder is the state of one instance that tries to hold the lease.
 type Holder struct {
-	set   Settings
-	name  string
-	nonce func() uint64
+	settings Settings
+	name     string
+	nonce    func() uint64
 
-	seen    Object
-	seenAt  time.Time // when this version was first seen
-	validTo time.Time // as seen by this holder; zero when it is not its own
-	next    time.Time // when to act next
-	pending *Write    // a write that was sent, or whose answer was lost
-	sentAt  time.Time
-	waiting bool // for an answer
+	seen       Object
+	seenAt     time.Time // when the version of seen was first seen
+	validUntil time.Time // when this holder's lease ends; zero when it does not hold it
+	nextTick   time.Time // when to act next
+	pending    *Write    // a write whose outcome is not known yet
+	sentAt     time.Time
+	waiting    bool // for the answer to an action
 }
 
-// New returns a holder that does not hold the lease. nonce draws random numbers.
+// New returns a holder that does not hold the lease. nonce returns random numbers.
 func New(set Settings, name string, nonce func() uint64) *Holder {
-	return &Holder{set: set, name: name, nonce: nonce}
+	return &Holder{settings: set, name: name, nonce: nonce}
 }
 
-// Valid tells whether this instance may give an order now, and with which fencing number.
+// Valid reports whether this instance may give an order now, and with which fencing number.
 func (h *Holder) Valid(now time.Time) (fence uint64, ok bool) {
-	return h.seen.Version, !h.validTo.IsZero() && now.Before(h.validTo)
+	return h.seen.Version, !h.validUntil.IsZero() && now.Before(h.validUntil)
 }
 
-// Next returns when [Holder.Tick] has to be called.
-func (h *Holder) Next() time.Time { return h.next }
+// NextTick returns when [Holder.Tick] has to be called next.
+func (h *Holder) NextTick() time.Time { return h.nextTick }
 
-// Tick lets time pass. At most one call is out at a time.
+// Tick returns the next action, or nil when none is due. It returns nil while an action is
+// unanswered, so at most one call is in progress.
 func (h *Holder) Tick(now time.Time) Action {
-	if h.waiting || now.Before(h.next) {
+	if h.waiting || now.Before(h.nextTick) {
 		return nil
 	}
 	h.waiting = true
 	if h.pending != nil || h.seen.Version == 0 && h.seenAt.IsZero() {
 		return Read{}
 	}
-	if h.mine() {
+	if h.holds() {
 		return h.write(now, false)
 	}
-	if h.free(now) {
+	if h.available(now) {
 		return h.write(now, false)
 	}
 	return Read{}
 }
 
-// mine tells whether the newest version seen is this holder's own, and still valid: one
-// that ran out is acquired like any other.
-func (h *Holder) mine() bool { return !h.validTo.IsZero() }
+// holds reports whether the newest version seen is this holder's own and has not expired. An
+// expired lease is acquired like any other.
+func (h *Holder) holds() bool { return !h.validUntil.IsZero() }
 
-// free tells whether the lease may be taken: there is none, it was released, or it was seen
-// unchanged for its whole time to live.
-func (h *Holder) free(now time.Time) bool {
-	return h.seen.Version == 0 || h.seen.Released || !now.Before(h.seenAt.Add(h.set.TTL))
+// available reports whether the lease may be acquired: there is none, it was released, or it was
+// seen unchanged for its whole time to live.
+func (h *Holder) available(now time.Time) bool {
+	return h.seen.Version == 0 || h.seen.Released || !now.Before(h.seenAt.Add(h.settings.TTL))
 }
 
-// Release gives the lease up, when the instance leaves; it returns nil when it is not held.
+// Release returns the action that gives the lease up when the instance leaves; nil when it is not
+// held or an action is unanswered.
 func (h *Holder) Release(now time.Time) Action {
-	if !h.mine() || h.waiting {
+	if !h.holds() || h.waiting {
 		return nil
 	}
 	h.waiting = true
@@ -128,17 +133,18 @@
 	w := Write{Object: Object{Holder: h.name, Nonce: h.nonce(), Released: release}, IfVersion: h.seen.Version}
 	h.pending, h.sentAt = &w, now
 	if release {
-		h.validTo = time.Time{}
+		h.validUntil = time.Time{}
 	}
 	return w
 }
 
-// Seen reports the object as read.
-func (h *Holder) Seen(now time.Time, r Result, o Object) {
+// ReportRead records the outcome of a [Read]. o is the object that was read; its zero value means
+// that there is none.
+func (h *Holder) ReportRead(now time.Time, r Result, o Object) {
 	h.waiting = false
 	if r != Done {
-		h.lapse(now)
-		h.next = now.Add(h.set.Check / 2)
+		h.expire(now)
+		h.nextTick = now.Add(h.settings.CheckInterval / 2)
 		return
 	}
 	p := h.pending
@@ -150,55 +156,57 @@
 	h.observe(now, o)
 }
 
-// observe takes note of another's version.
+// observe records a version that this holder did not write, and schedules the next action.
 func (h *Holder) observe(now time.Time, o Object) {
 	if o.Version != h.seen.Version || h.seenAt.IsZero() {
 		h.seen, h.seenAt = o, now
-		h.validTo = time.Time{}
+		h.validUntil = time.Time{}
 	}
-	h.lapse(now)
-	h.next = now.Add(h.set.Check)
-	if h.free(now) {
-		h.next = now
-	} else if end := h.seenAt.Add(h.set.TTL); end.Before(h.next) {
-		h.next = end
+	h.expire(now)
+	h.nextTick = now.Add(h.settings.CheckInterval)
+	if h.available(now) {
+		h.nextTick = now
+	} else if end := h.seenAt.Add(h.settings.TTL); end.Before(h.nextTick) {
+		h.nextTick = end
 	}
 }
 
-// Written reports what became of a write; o is the object it made.
-func (h *Holder) Written(now time.Time, r Result, o Object) {
+// ReportWrite records the outcome of a [Write]. o is the object that was written.
+func (h *Holder) ReportWrite(now time.Time, r Result, o Object) {
 	h.waiting = false
 	switch r {
 	case Done:
 		h.pending = nil
 		h.acquired(now, o)
 	case Conflict:
-		// It may be our own, of a write whose answer was lost before: the read tells.
-		h.next = now
+		// The stored version may be this holder's own, from a write whose answer was lost. The next
+		// read shows it.
+		h.nextTick = now
 	case Uncertain:
-		h.next = now
+		h.nextTick = now
 	case Unavailable:
 		h.pending = nil
-		h.next = now.Add(h.set.Check / 2)
+		h.nextTick = now.Add(h.settings.CheckInterval / 2)
 	}
-	h.lapse(now)
+	h.expire(now)
 }
 
-// acquired takes the lease from the moment before its write was sent.
+// acquired records this holder's own write. The lease is valid from the moment before the write was
+// sent.
 func (h *Holder) acquired(now time.Time, o Object) {
 	h.seen, h.seenAt = o, now
 	if o.Released {
-		h.validTo, h.next = time.Time{}, now.Add(h.set.TTL)
+		h.validUntil, h.nextTick = time.Time{}, now.Add(h.settings.TTL)
 		return
 	}
-	h.validTo = h.sentAt.Add(h.set.TTL - h.set.Margin)
-	h.next = h.sentAt.Add(h.set.Renew)
-	h.lapse(now)
+	h.validUntil = h.sentAt.Add(h.settings.TTL - h.settings.Margin)
+	h.nextTick = h.sentAt.Add(h.settings.RenewInterval)
+	h.expire(now)
 }
 
-// lapse ends a lease whose time is over.
-func (h *Holder) lapse(now time.Time) {
-	if !h.validTo.IsZero() && !now.Before(h.validTo) {
-		h.validTo = time.Time{}
+// expire ends a lease whose time is over.
+func (h *Holder) expire(now time.Time) {
+	if !h.validUntil.IsZero() && !now.Before(h.validUntil) {
+		h.validUntil = time.Time{}
 	}
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -16,12 +16,12 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func counter() func() uint64 {
+func nonceCounter() func() uint64 {
 	var n uint64
 	return func() uint64 { n++; return n }
 }
 
-// store is the platform's object.
+// store is the platform's copy of the lease's object.
 type store struct{ o Object }
 
 func (s *store) write(w Write) (Result, Object) {
@@ -33,20 +33,22 @@
 	return Done, s.o
 }
 
-// act carries out an action at once.
-func act(s *store, h *Holder, now time.Time, a Action) {
+// perform carries out an action and reports its outcome at once.
+func perform(s *store, h *Holder, now time.Time, a Action) {
 	switch a := a.(type) {
 	case Read:
-		h.Seen(now, Done, s.o)
+		h.ReportRead(now, Done, s.o)
 	case Write:
 		r, o := s.write(a)
-		h.Written(now, r, o)
+		h.ReportWrite(now, r, o)
 	}
 }
 
-func until(s *store, h *Holder, now time.Time, want bool, most time.Duration) (time.Time, bool) {
-	for end := now.Add(most); now.Before(end); now = now.Add(100 * time.Millisecond) {
-		act(s, h, now, h.Tick(now))
+// tickUntil advances the time in steps of 100 ms until the holder's validity is want. It returns
+// false when that takes longer than timeout.
+func tickUntil(s *store, h *Holder, now time.Time, want bool, timeout time.Duration) (time.Time, bool) {
+	for end := now.Add(timeout); now.Before(end); now = now.Add(100 * time.Millisecond) {
+		perform(s, h, now, h.Tick(now))
 		if _, ok := h.Valid(now); ok == want {
 			return now, true
 		}
@@ -54,62 +56,67 @@
 	return now, false
 }
 
-func TestAcquireRenewAndPassOn(t *testing.T) {
+// A holder that is paused must not consider its lease valid once another instance may have acquired
+// it, and must not renew it.
+func TestAcquireRenewAndTakeOver(t *testing.T) {
 	s := &store{}
-	a, b := New(DefaultSettings(), "a", counter()), New(DefaultSettings(), "b", counter())
-	now, ok := until(s, a, epoch, true, time.Second)
+	a, b := New(DefaultSettings(), "a", nonceCounter()), New(DefaultSettings(), "b", nonceCounter())
+	now, ok := tickUntil(s, a, epoch, true, time.Second)
 	assert.Assert(t, ok)
 	first, _ := a.Valid(now)
-	for range 600 { // a minute: a renews, b looks on
+	for range 600 { // for a minute, a renews and b observes
 		now = now.Add(100 * time.Millisecond)
-		act(s, a, now, a.Tick(now))
-		act(s, b, now, b.Tick(now))
+		perform(s, a, now, a.Tick(now))
+		perform(s, b, now, b.Tick(now))
 		_, held := a.Valid(now)
 		assert.Assert(t, held)
 		_, held = b.Valid(now)
 		assert.Assert(t, !held)
 	}
-	// a is paused; b takes over once it has seen the lease unchanged for its time to live.
+	// a is paused; b acquires the lease after seeing it unchanged for its time to live.
 	died := now
-	now, ok = until(s, b, now, true, time.Minute)
+	now, ok = tickUntil(s, b, now, true, time.Minute)
 	assert.Assert(t, ok)
 	assert.Assert(t, now.Sub(died) <= 14*time.Second, "%v", now.Sub(died))
 	fence, _ := b.Valid(now)
 	assert.Assert(t, fence > first)
-	_, held := a.Valid(now) // a wakes
+	_, held := a.Valid(now) // a resumes
 	assert.Assert(t, !held)
-	act(s, a, now, a.Tick(now)) // and tries to renew
-	act(s, a, now, a.Tick(now))
+	perform(s, a, now, a.Tick(now)) // and tries to renew
+	perform(s, a, now, a.Tick(now))
 	_, held = a.Valid(now)
 	assert.Assert(t, !held)
 }
 
-func TestReleaseIsTakenAtOnce(t *testing.T) {
+// A released lease is acquired without waiting for its time to live.
+func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
 	s := &store{}
-	a, b := New(DefaultSettings(), "a", counter()), New(DefaultSettings(), "b", counter())
-	now, _ := until(s, a, epoch, true, time.Second)
-	act(s, a, now, a.Release(now))
+	a, b := New(DefaultSettings(), "a", nonceCounter()), New(DefaultSettings(), "b", nonceCounter())
+	now, _ := tickUntil(s, a, epoch, true, time.Second)
+	perform(s, a, now, a.Release(now))
 	_, held := a.Valid(now)
 	assert.Assert(t, !held)
-	_, ok := until(s, b, now, true, time.Second)
+	_, ok := tickUntil(s, b, now, true, time.Second)
 	assert.Assert(t, ok)
 }
 
-func TestLostAnswers(t *testing.T) {
+// When the answer to a write is lost, the lease must not count as held before a read shows whose
+// write took effect. It is then valid from before the write was sent.
+func TestLostWriteAnswers(t *testing.T) {
 	for name, effect := range map[string]bool{"took effect": true, "had none": false} {
 		t.Run(name, func(t *testing.T) {
 			s := &store{}
-			h := New(DefaultSettings(), "a", counter())
-			act(s, h, epoch, h.Tick(epoch)) // reads
+			h := New(DefaultSettings(), "a", nonceCounter())
+			perform(s, h, epoch, h.Tick(epoch)) // reads
 			w := h.Tick(epoch).(Write)
 			if effect {
 				s.write(w)
 			}
 			late := epoch.Add(3 * time.Second)
-			h.Written(late, Uncertain, Object{})
+			h.ReportWrite(late, Uncertain, Object{})
 			_, held := h.Valid(late)
-			assert.Assert(t, !held, "not before it is known")
-			_, ok := until(s, h, late, true, 5*time.Second)
+			assert.Assert(t, !held, "held before the outcome is known")
+			_, ok := tickUntil(s, h, late, true, 5*time.Second)
 			assert.Assert(t, ok)
 			if effect {
 				// Valid from before the write was sent, not from when it was found.
@@ -120,37 +127,41 @@
 	}
 }
 
+// A holder that can't renew during an outage must stop giving orders, and acquires the lease again
+// afterwards.
 func TestOutageEndsTheLease(t *testing.T) {
 	s := &store{}
-	h := New(DefaultSettings(), "a", counter())
-	now, _ := until(s, h, epoch, true, time.Second)
+	h := New(DefaultSettings(), "a", nonceCounter())
+	now, _ := tickUntil(s, h, epoch, true, time.Second)
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		switch h.Tick(now).(type) {
 		case Read:
-			h.Seen(now, Unavailable, Object{})
+			h.ReportRead(now, Unavailable, Object{})
 		case Write:
-			h.Written(now, Unavailable, Object{})
+			h.ReportWrite(now, Unavailable, Object{})
 		}
 	}
 	_, held := h.Valid(now)
 	assert.Assert(t, !held)
-	_, ok := until(s, h, now, true, 15*time.Second)
-	assert.Assert(t, ok, "and it is taken again afterwards")
+	_, ok := tickUntil(s, h, now, true, 15*time.Second)
+	assert.Assert(t, ok, "not acquired again after the outage")
 }
 
-// TestNeverTwoHolders lets calls take any time, answers be lost and holders be paused.
+// Two valid holders at once would give conflicting orders. Calls take any time, answers are lost
+// and holders are paused in random order; at most one holder may be valid, and no two may use the
+// same fencing number.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
 		type call struct {
 			h      int
 			act    Action
-			effect bool // carried out at the platform
+			effect bool // the platform has carried it out
 			result Result
 			object Object
 		}
-		nonce := counter()
+		nonce := nonceCounter()
 		holders := make([]*Holder, 3)
 		for i := range holders {
 			holders[i] = New(DefaultSettings(), fmt.Sprint(i), nonce)
@@ -172,7 +183,7 @@
 				}
 				valid = i
 				if other, seen := fences[fence]; seen && other != i {
-					t.Fatalf("%d and %d have fence %d", other, i, fence)
+					t.Fatalf("%d and %d have the same fencing number %d", other, i, fence)
 				}
 				fences[fence] = i
 			}
@@ -207,13 +218,13 @@
 			lost := rapid.IntRange(0, 4).Draw(t, "lost") == 0
 			switch {
 			case isWrite && lost:
-				holders[c.h].Written(now, Uncertain, Object{})
+				holders[c.h].ReportWrite(now, Uncertain, Object{})
 			case isWrite:
-				holders[c.h].Written(now, c.result, c.object)
+				holders[c.h].ReportWrite(now, c.result, c.object)
 			case lost:
-				holders[c.h].Seen(now, Unavailable, Object{})
+				holders[c.h].ReportRead(now, Unavailable, Object{})
 			default:
-				holders[c.h].Seen(now, c.result, c.object)
+				holders[c.h].ReportRead(now, c.result, c.object)
 			}
 			calls = append(calls[:n], calls[n+1:]...)
 		}
@@ -228,12 +239,13 @@
 	return out
 }
 
-func want(version string, replicas int) Want {
-	return Want{Deployment: "d", Group: "g", Model: Model{Name: "m", Version: version}, Replicas: replicas, Version: 7}
+func spec(version string, replicas int) DeploymentSpec {
+	return DeploymentSpec{Deployment: "d", Group: "g", Model: Model{Name: "m", Version: version}, Replicas: replicas, Version: 7}
 }
 
-// rollOut carries orders out until there are none, loading for the time given.
-func rollOut(p *Planner, wants []Want, es []Engine, load time.Duration) (orders int, most int) {
+// runPlanner lets the planner give orders for 300 s, and lets each engine carry an order out after
+// loadTime. It returns the number of orders and the largest number of engines loading at once.
+func runPlanner(p *Planner, specs []DeploymentSpec, es []Engine, loadTime time.Duration) (orders int, maxLoading int) {
 	now := epoch
 	done := map[string]time.Time{}
 	models := map[string][]Model{}
@@ -245,76 +257,83 @@
 				delete(done, es[i].ID)
 			}
 		}
-		most = max(most, len(done))
-		if o, ok := p.Next(now, wants, es); ok {
+		maxLoading = max(maxLoading, len(done))
+		if o, ok := p.Next(now, specs, es); ok {
 			orders++
-			p.Given(now, o)
-			done[o.Engine], models[o.Engine] = now.Add(load), o.Models
+			p.Accepted(now, o)
+			done[o.Engine], models[o.Engine] = now.Add(loadTime), o.Models
 		}
 	}
-	return orders, most
+	return orders, maxLoading
 }
 
-func TestRollOutReachesTheReplicasAndIsSpaced(t *testing.T) {
+// The planner loads as many replicas as required, spread over data centres, without exceeding
+// MaxParallel.
+func TestPlannerReachesReplicasWithinParallelLimit(t *testing.T) {
 	es := engines(9)
-	orders, most := rollOut(NewPlanner(DefaultPace()), []Want{want("1", 6)}, es, 5*time.Second)
+	orders, maxLoading := runPlanner(NewPlanner(DefaultPlannerSettings()), []DeploymentSpec{spec("1", 6)}, es, 5*time.Second)
 	assert.Equal(t, orders, 6)
-	assert.Equal(t, most, 4)
-	byCentre := map[string]int{}
+	assert.Equal(t, maxLoading, 4)
+	servingIn := map[string]int{}
 	for _, e := range es {
 		if len(e.Models) > 0 {
-			byCentre[e.DataCentre]++
+			servingIn[e.DataCentre]++
 		}
 	}
-	assert.DeepEqual(t, byCentre, map[string]int{"dc0": 2, "dc1": 2, "dc2": 2})
+	assert.DeepEqual(t, servingIn, map[string]int{"dc0": 2, "dc1": 2, "dc2": 2})
 }
 
-func TestNewVersionReplacesTheOldAndKeepsOthers(t *testing.T) {
-	other := Want{Deployment: "o", Group: "g", Model: Model{Name: "other", Version: "3"}, Replicas: 3}
+// A new version of a model replaces the old one and leaves models of other deployments loaded.
+func TestNewVersionReplacesOldAndKeepsOtherModels(t *testing.T) {
+	other := DeploymentSpec{Deployment: "o", Group: "g", Model: Model{Name: "other", Version: "3"}, Replicas: 3}
 	es := engines(3, Model{Name: "m", Version: "1"}, Model{Name: "other", Version: "3"})
-	orders, _ := rollOut(NewPlanner(DefaultPace()), []Want{want("2", 3), other}, es, time.Second)
+	orders, _ := runPlanner(NewPlanner(DefaultPlannerSettings()), []DeploymentSpec{spec("2", 3), other}, es, time.Second)
 	assert.Equal(t, orders, 3)
 	for _, e := range es {
 		assert.DeepEqual(t, e.Models, []Model{{Name: "m", Version: "2"}, {Name: "other", Version: "3"}})
 	}
 }
 
-func TestNothingToDo(t *testing.T) {
-	orders, _ := rollOut(NewPlanner(DefaultPace()), []Want{want("1", 3), want("1", 0)}, engines(3, Model{Name: "m", Version: "1"}), time.Second)
+// No order is given when the replicas exist already, beyond the engines that exist, or for a group
+// without engines.
+func TestOrdersAreBoundedBySpecsAndEngines(t *testing.T) {
+	orders, _ := runPlanner(NewPlanner(DefaultPlannerSettings()), []DeploymentSpec{spec("1", 3), spec("1", 0)}, engines(3, Model{Name: "m", Version: "1"}), time.Second)
 	assert.Equal(t, orders, 0)
-	orders, _ = rollOut(NewPlanner(DefaultPace()), []Want{want("1", 5)}, engines(2), time.Second)
-	assert.Equal(t, orders, 2, "no more than there are")
-	orders, _ = rollOut(NewPlanner(DefaultPace()), []Want{{Deployment: "d", Group: "elsewhere", Model: Model{Name: "m"}, Replicas: 1}}, engines(2), time.Second)
+	orders, _ = runPlanner(NewPlanner(DefaultPlannerSettings()), []DeploymentSpec{spec("1", 5)}, engines(2), time.Second)
+	assert.Equal(t, orders, 2, "more orders than engines")
+	orders, _ = runPlanner(NewPlanner(DefaultPlannerSettings()), []DeploymentSpec{{Deployment: "d", Group: "elsewhere", Model: Model{Name: "m"}, Replicas: 1}}, engines(2), time.Second)
 	assert.Equal(t, orders, 0)
 }
 
-func TestOrderThatIsNotCarriedOutIsGivenAgain(t *testing.T) {
-	p := NewPlanner(DefaultPace())
+// An order that an engine accepted and did not carry out is given again after OrderTimeout, and not
+// before.
+func TestOrderIsRepeatedAfterTimeout(t *testing.T) {
+	p := NewPlanner(DefaultPlannerSettings())
 	es := engines(1)
-	o, ok := p.Next(epoch, []Want{want("1", 1)}, es)
+	o, ok := p.Next(epoch, []DeploymentSpec{spec("1", 1)}, es)
 	assert.Assert(t, ok)
-	p.Given(epoch, o)
-	_, ok = p.Next(epoch.Add(time.Minute), []Want{want("1", 1)}, es)
+	p.Accepted(epoch, o)
+	_, ok = p.Next(epoch.Add(time.Minute), []DeploymentSpec{spec("1", 1)}, es)
 	assert.Assert(t, !ok)
-	_, ok = p.Next(epoch.Add(2*time.Minute), []Want{want("1", 1)}, es)
+	_, ok = p.Next(epoch.Add(2*time.Minute), []DeploymentSpec{spec("1", 1)}, es)
 	assert.Assert(t, ok)
 }
 
-// TestRolesAreTakenAndNotRobbed: two deployments want the same model in two roles; each
-// gets its engines, and none is turned back and forth.
-func TestRolesAreTakenAndNotRobbed(t *testing.T) {
-	prefill, decode := want("1", 2), want("1", 3)
+// Two deployments require the same model in two roles. Each must get its engines; taking them from
+// each other would change roles forever.
+func TestEnginesDoNotAlternateBetweenRoles(t *testing.T) {
+	prefill, decode := spec("1", 2), spec("1", 3)
 	prefill.Role, decode.Role, decode.Deployment = "prefill", "decode", "other"
 	es := engines(6, Model{Name: "m", Version: "1"})
-	p, now, orders := NewPlanner(DefaultPace()), epoch, 0
+	p, now, orders := NewPlanner(DefaultPlannerSettings()), epoch, 0
 	for range 200 {
 		now = now.Add(time.Second)
-		o, ok := p.Next(now, []Want{prefill, decode}, es)
+		o, ok := p.Next(now, []DeploymentSpec{prefill, decode}, es)
 		if !ok {
 			continue
 		}
 		orders++
-		p.Given(now, o)
+		p.Accepted(now, o)
 		for i := range es {
 			if es[i].ID == o.Engine {
 				es[i].Models, es[i].Role = o.Models, o.Role
--- a/core/lease/plan.go
+++ b/core/lease/plan.go
@@ -6,169 +6,176 @@
 	"time"
 )
 
-// Model is a model in one version, with adapters.
+// Model is a version of a model with adapters.
 type Model struct {
 	Name, Version string
 	Adapters      []string
 }
 
-// Want is what a deployment asks of the engines of its group.
-type Want struct {
+// DeploymentSpec is what a deployment requires of the engines of its group.
+type DeploymentSpec struct {
 	Deployment string
 	Group      string
 	Model      Model
 	Replicas   int
-	// Role that the engines take along; empty leaves it.
+	// Role is the role that the engines have to take; empty leaves their role unchanged.
 	Role string
-	// Version of the configuration that the order follows from.
+	// Version is the version of the deployment's configuration; orders carry it.
 	Version uint64
 }
 
-// Engine is an engine as it reports itself.
+// Engine is the state that an engine reports.
 type Engine struct {
 	ID, Group, DataCentre, Role string
 	Models                      []Model
 }
 
-// Order asks an engine to have exactly these models. It is declarative: the same order
-// twice changes nothing.
+// Order asks an engine to load exactly these models. It is declarative: repeating it changes
+// nothing.
 type Order struct {
 	Engine     string
 	Deployment string
 	Version    uint64
 	Models     []Model
-	// Role to take; empty leaves it.
+	// Role is the role to take; empty leaves it unchanged.
 	Role string
 }
 
-// Pace bounds the loads from the weight store.
-type Pace struct {
-	// Parallel is how many engines may load at once.
-	Parallel int
-	// Gap is the least time between two orders.
-	Gap time.Duration
-	// Patience is how long an order may take before it is given again.
-	Patience time.Duration
+// PlannerSettings limit how fast engines are told to load from the weight store.
+type PlannerSettings struct {
+	// MaxParallel is how many engines may load at once.
+	MaxParallel int
+	// MinInterval is the least time between two orders.
+	MinInterval time.Duration
+	// OrderTimeout is how long an engine may take to carry an order out before the order is given
+	// again.
+	OrderTimeout time.Duration
 }
 
-// DefaultPace returns the pace used by the daemon.
-func DefaultPace() Pace {
-	return Pace{Parallel: 4, Gap: 500 * time.Millisecond, Patience: 2 * time.Minute}
+// DefaultPlannerSettings returns the settings used by the daemon.
+func DefaultPlannerSettings() PlannerSettings {
+	return PlannerSettings{MaxParallel: 4, MinInterval: 500 * time.Millisecond, OrderTimeout: 2 * time.Minute}
 }
 
-// Planner remembers the orders that are under way.
+// Planner decides on orders and tracks the ones that are in progress.
 type Planner struct {
-	pace  Pace
-	given map[string]given // by engine
-	last  time.Time
+	settings    PlannerSettings
+	pending     map[string]pendingOrder // by engine ID
+	lastOrderAt time.Time
 }
 
-type given struct {
-	at    time.Time
-	order Order
+// pendingOrder is an order that an engine has accepted and not yet carried out.
+type pendingOrder struct {
+	acceptedAt time.Time
+	order      Order
 }
 
-// NewPlanner returns a planner without orders under way.
-func NewPlanner(p Pace) *Planner { return &Planner{pace: p, given: map[string]given{}} }
+// NewPlanner returns a planner with no orders in progress.
+func NewPlanner(p PlannerSettings) *Planner {
+	return &Planner{settings: p, pending: map[string]pendingOrder{}}
+}
 
-// Reset forgets the orders under way, when the lease was lost: a new holder reads the
-// state back.
-func (p *Planner) Reset() { p.given = map[string]given{} }
+// Reset forgets the orders in progress. It is called when this instance gains or loses the lease,
+// since a new holder reads the state back from the engines.
+func (p *Planner) Reset() { p.pending = map[string]pendingOrder{} }
 
-// Next returns the next order, if one may be given now. The caller reports it with Given.
-func (p *Planner) Next(now time.Time, wants []Want, engines []Engine) (Order, bool) {
-	p.settle(now, engines)
-	if len(p.given) >= p.pace.Parallel || now.Sub(p.last) < p.pace.Gap {
+// Next returns the next order, if one may be given now. The caller reports it with
+// [Planner.Accepted] once the engine has taken it.
+func (p *Planner) Next(now time.Time, specs []DeploymentSpec, engines []Engine) (Order, bool) {
+	p.dropSettled(now, engines)
+	if len(p.pending) >= p.settings.MaxParallel || now.Sub(p.lastOrderAt) < p.settings.MinInterval {
 		return Order{}, false
 	}
-	for i := range wants {
-		if o, ok := p.forWant(&wants[i], wants, engines); ok {
+	for i := range specs {
+		if o, ok := p.orderFor(&specs[i], specs, engines); ok {
 			return o, true
 		}
 	}
 	return Order{}, false
 }
 
-// Given records that an order was taken by its engine.
-func (p *Planner) Given(now time.Time, o Order) {
-	p.given[o.Engine] = given{now, o}
-	p.last = now
+// Accepted records that an engine has accepted an order.
+func (p *Planner) Accepted(now time.Time, o Order) {
+	p.pending[o.Engine] = pendingOrder{now, o}
+	p.lastOrderAt = now
 }
 
-// settle drops the orders that are carried out, or took too long.
-func (p *Planner) settle(now time.Time, engines []Engine) {
+// dropSettled drops the orders that are carried out or have timed out.
+func (p *Planner) dropSettled(now time.Time, engines []Engine) {
 	for i := range engines {
 		e := &engines[i]
-		g, ok := p.given[e.ID]
-		if ok && (g.order.done(e) || now.Sub(g.at) >= p.pace.Patience) {
-			delete(p.given, e.ID)
+		g, ok := p.pending[e.ID]
+		if ok && (g.order.carriedOutBy(e) || now.Sub(g.acceptedAt) >= p.settings.OrderTimeout) {
+			delete(p.pending, e.ID)
 		}
 	}
 }
 
-// forWant returns an order towards one want: one more engine with its model.
-func (p *Planner) forWant(w *Want, wants []Want, engines []Engine) (Order, bool) {
-	have, byCentre := 0, map[string]int{}
-	var free []*Engine
+// orderFor returns an order that lets one more engine serve a spec, if one is needed and an engine
+// is available.
+func (p *Planner) orderFor(spec *DeploymentSpec, specs []DeploymentSpec, engines []Engine) (Order, bool) {
+	serving, servingIn := 0, map[string]int{}
+	var candidates []*Engine
 	for i := range engines {
 		e := &engines[i]
-		if e.Group != w.Group {
+		if e.Group != spec.Group {
 			continue
 		}
-		g, busy := p.given[e.ID]
-		if w.met(e.Models, e.Role) || busy && w.met(g.order.Models, g.order.Role) {
-			have++
-			byCentre[e.DataCentre]++
-		} else if !busy && !w.robs(e, wants) {
-			free = append(free, e)
+		g, busy := p.pending[e.ID]
+		if spec.satisfiedBy(e.Models, e.Role) || busy && spec.satisfiedBy(g.order.Models, g.order.Role) {
+			serving++
+			servingIn[e.DataCentre]++
+		} else if !busy && !spec.usedInOtherRole(e, specs) {
+			candidates = append(candidates, e)
 		}
 	}
-	if have >= w.Replicas || len(free) == 0 {
+	if serving >= spec.Replicas || len(candidates) == 0 {
 		return Order{}, false
 	}
-	// Spread over data centres; then the engine with the fewest models.
-	sort.Slice(free, func(i, j int) bool {
-		a, b := free[i], free[j]
-		if byCentre[a.DataCentre] != byCentre[b.DataCentre] {
-			return byCentre[a.DataCentre] < byCentre[b.DataCentre]
+	// Spread over data centres first; then prefer the engine with the fewest models.
+	sort.Slice(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
+		if servingIn[a.DataCentre] != servingIn[b.DataCentre] {
+			return servingIn[a.DataCentre] < servingIn[b.DataCentre]
 		}
 		if len(a.Models) != len(b.Models) {
 			return len(a.Models) < len(b.Models)
 		}
 		return a.ID < b.ID
 	})
-	e := free[0]
-	return Order{Engine: e.ID, Deployment: w.Deployment, Version: w.Version, Models: with(e.Models, w, wants), Role: w.Role}, true
+	e := candidates[0]
+	return Order{Engine: e.ID, Deployment: spec.Deployment, Version: spec.Version, Models: modelsWith(e.Models, spec, specs), Role: spec.Role}, true
 }
 
-// met tells whether an engine with the models and the role serves the want.
-func (w *Want) met(models []Model, role string) bool {
-	return holds(models, &w.Model) && (w.Role == "" || w.Role == role)
+// satisfiedBy reports whether an engine with the models and the role serves the spec.
+func (s *DeploymentSpec) satisfiedBy(models []Model, role string) bool {
+	return hasModel(models, &s.Model) && (s.Role == "" || s.Role == role)
 }
 
-// robs tells whether an order to an engine would take it from a want that it serves in
-// another role.
-func (w *Want) robs(e *Engine, wants []Want) bool {
-	return w.Role != "" && slices.ContainsFunc(wants, func(o Want) bool {
-		return o.Group == w.Group && o.Role != "" && o.Role != w.Role && o.Replicas > 0 && o.met(e.Models, e.Role)
+// usedInOtherRole reports whether an engine already serves a spec of the group in another role. An
+// order that changes its role would take it from that deployment.
+func (s *DeploymentSpec) usedInOtherRole(e *Engine, specs []DeploymentSpec) bool {
+	return s.Role != "" && slices.ContainsFunc(specs, func(o DeploymentSpec) bool {
+		return o.Group == s.Group && o.Role != "" && o.Role != s.Role && o.Replicas > 0 && o.satisfiedBy(e.Models, e.Role)
 	})
 }
 
-// done tells whether an engine has carried the order out.
-func (o *Order) done(e *Engine) bool {
+// carriedOutBy reports whether an engine has carried the order out.
+func (o *Order) carriedOutBy(e *Engine) bool {
 	return sameModels(e.Models, o.Models) && (o.Role == "" || o.Role == e.Role)
 }
 
-// with returns an engine's models with the wanted one: those that some deployment of the
-// group still wants stay, older versions of the wanted one go.
-func with(models []Model, w *Want, wants []Want) []Model {
-	out := []Model{w.Model}
+// modelsWith returns an engine's models with that of spec added. Models that another deployment of
+// the group requires stay; other versions of the added model are dropped unless they are required
+// too.
+func modelsWith(models []Model, spec *DeploymentSpec, specs []DeploymentSpec) []Model {
+	out := []Model{spec.Model}
 	for _, m := range models {
-		if m.Name == w.Model.Name && m.Version == w.Model.Version {
+		if m.Name == spec.Model.Name && m.Version == spec.Model.Version {
 			continue
 		}
-		wanted := slices.ContainsFunc(wants, func(o Want) bool {
-			return o.Group == w.Group && o.Model.Name == m.Name && (o.Model.Version == "" || o.Model.Version == m.Version)
+		wanted := slices.ContainsFunc(specs, func(o DeploymentSpec) bool {
+			return o.Group == spec.Group && o.Model.Name == m.Name && (o.Model.Version == "" || o.Model.Version == m.Version)
 		})
 		if wanted {
 			out = append(out, m)
@@ -177,7 +184,8 @@
 	return out
 }
 
-func holds(models []Model, want *Model) bool {
+// hasModel reports whether models contain want with its adapters. An empty version matches any.
+func hasModel(models []Model, want *Model) bool {
 	return slices.ContainsFunc(models, func(m Model) bool {
 		return m.Name == want.Name && (want.Version == "" || m.Version == want.Version) && containsAll(m.Adapters, want.Adapters)
 	})
@@ -197,7 +205,7 @@
 		return false
 	}
 	for i := range b {
-		if !holds(a, &b[i]) {
+		if !hasModel(a, &b[i]) {
 			return false
 		}
 	}
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -116,7 +116,7 @@
 		Subset: s.Endpoints.Subset, Instance: s.Instance.ID, Log: t.Log, Scope: t.Scope, Seed: rand.Uint64(),
 	})
 	d.Orders = orders.New(orders.Options{
-		Name: s.Instance.ID, Settings: lease.DefaultSettings(), Pace: lease.DefaultPace(), Platform: d.platform,
+		Name: s.Instance.ID, Settings: lease.DefaultSettings(), Pace: lease.DefaultPlannerSettings(), Platform: d.platform,
 		Config: d.Config, Backends: d.Backends, Client: client, Log: t.Log, Scope: t.Scope, Candidate: d.reads,
 	})
 	d.running = running.New(running.Options{
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -37,7 +37,7 @@
 type Options struct {
 	Name     string
 	Settings lease.Settings
-	Pace     lease.Pace
+	Pace     lease.PlannerSettings
 	Platform platform.Client
 	Config   *config.Config
 	Backends *backends.Backends
@@ -104,10 +104,10 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if errorx.IsOfType(err, platform.ErrNotFound) {
-			o.holder.Seen(time.Now(), lease.Done, lease.Object{})
+			o.holder.ReportRead(time.Now(), lease.Done, lease.Object{})
 			return
 		}
-		o.holder.Seen(time.Now(), resultOf(err), decode(obj))
+		o.holder.ReportRead(time.Now(), resultOf(err), decode(obj))
 	case lease.Write:
 		raw, err := json.Marshal(stored{a.Object.Holder, a.Object.Nonce, a.Object.Released})
 		if err != nil { // strings and numbers always encode
@@ -116,7 +116,7 @@
 		obj, err := o.opt.Platform.Put(ctx, KindLease, nameLease, raw, a.IfVersion)
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.holder.Written(time.Now(), resultOf(err), decode(obj))
+		o.holder.ReportWrite(time.Now(), resultOf(err), decode(obj))
 	}
 }
 
@@ -186,18 +186,18 @@
 		o.opt.Scope.Counter("orders_failed").Inc(1)
 		return
 	}
-	o.planner.Given(time.Now(), order)
+	o.planner.Accepted(time.Now(), order)
 	o.opt.Scope.Counter("orders_given").Inc(1)
 	o.opt.Log.WithFields(logrus.Fields{"engine": order.Engine, "deployment": order.Deployment, "fence": fence}).Info("order given")
 }
 
-func (o *Orders) wants() []lease.Want {
-	var out []lease.Want
+func (o *Orders) wants() []lease.DeploymentSpec {
+	var out []lease.DeploymentSpec
 	for _, d := range o.opt.Config.Deployments() {
 		if d.Plain {
 			continue
 		}
-		out = append(out, lease.Want{
+		out = append(out, lease.DeploymentSpec{
 			Deployment: d.Name, Group: d.Service, Replicas: d.Replicas, Version: d.Version, Role: d.Role,
 			Model: lease.Model{Name: d.Model, Version: d.ModelVersion, Adapters: d.Adapters()},
 		})
