--- a/core/ticket/handover.go
+++ b/core/ticket/handover.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Remembered is one entry of a table, to be handed over.
-type Remembered struct {
+// Record is one entry of a table that is handed over to another instance.
+type Record struct {
 	ID      ID
 	Request uint64
 	Answer  Answer
@@ -11,27 +11,28 @@
 	Expires time.Time
 }
 
-// Close ends the table's right to run calls, and returns what it remembers. After it
-// [Table.Begin] answers as [Table.Ask] does. Entries that still run are handed over as
-// Unknown.
-func (t *Table) Close() (last ID, all []Remembered) {
+// Close ends the table's right to run calls. It returns the last ticket that was minted and the
+// table's entries; calls that are still running are returned as [Unknown]. After Close,
+// [Table.Begin] answers like [Table.Ask].
+func (t *Table) Close() (last ID, records []Record) {
 	t.closed = true
 	for _, e := range t.entries {
 		a := e.answer
 		if a == Running {
 			a = Unknown
 		}
-		all = append(all, Remembered{e.id, e.request, a, e.outcome, e.expires})
+		records = append(records, Record{e.id, e.request, a, e.outcome, e.expires})
 	}
-	return t.nextID, all
+	return t.lastID, records
 }
 
-// Inherit returns a closed table that answers for a process that has left: for what it
-// remembered, and not run for all else that it minted.
-func Inherit(last ID, all []Remembered, entries int, ttl time.Duration) *Table {
-	t := NewTable(entries, 0, ttl)
-	t.nextID, t.closed = last, true
-	for _, r := range all {
+// Inherit returns a closed table that answers for a process that has left. It answers with the
+// outcomes in records, and with [NotRun] for all other tickets up to last. maxEntries bounds the
+// entries and ttl is how long tickets live.
+func Inherit(last ID, records []Record, maxEntries int, ttl time.Duration) *Table {
+	t := NewTable(maxEntries, 0, ttl)
+	t.lastID, t.closed = last, true
+	for _, r := range records {
 		t.add(&entry{id: r.ID, request: r.Request, answer: r.Answer, outcome: r.Outcome, expires: r.Expires})
 	}
 	return t
--- a/core/ticket/table.go
+++ b/core/ticket/table.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// ID is a ticket's number, unique within its owner's incarnation.
+// ID is a ticket's number, unique within the process that minted it.
 type ID uint64
 
-// Answer is what a table says of a ticket.
+// Answer is what a table answers about a ticket.
 type Answer int
 
 // Answers of a table.
 const (
-	// Run: the caller of Begin has to run the call, now.
+	// Run means that the caller of [Table.Begin] has to run the call now.
 	Run Answer = iota
-	// Running: it was begun, and has not ended.
+	// Running means that the call was begun and has not ended.
 	Running
-	// Ran: it ended; the outcome goes along.
+	// Ran means that the call ended; its outcome is returned along.
 	Ran
-	// NotRun: it did not run, and never will.
+	// NotRun means that the call did not run and never will.
 	NotRun
-	// Expired: the ticket is too old; whether it ran is not known any more.
+	// Expired means that the ticket is too old, so that its outcome is no longer known, or that it
+	// was not minted here.
 	Expired
-	// Full: there is no room to remember the call, so it was not begun.
+	// Full means that the table has no room for the call, so that it was not begun.
 	Full
-	// Unknown: the call may have run; its endpoint's answer was lost.
+	// Unknown means that the call may have run: its endpoint's answer was lost.
 	Unknown
-	// Mismatch: the ticket was used for another request.
+	// Mismatch means that the ticket was used for another request.
 	Mismatch
 )
 
-// Outcome is what a call answered, kept for callers that ask again.
+// Outcome is the answer of a call, kept for callers that ask again.
 type Outcome struct {
 	Status      int
 	ContentType string
@@ -46,39 +47,41 @@
 	expires time.Time
 }
 
-// Table holds what became of one incarnation's tickets.
+// Table holds the states and outcomes of the tickets of one process.
 type Table struct {
-	entries map[ID]*entry
-	expiry  expiryHeap
-	most    int
-	bytes   int
-	budget  int
-	nextID  ID
-	ttl     time.Duration
-	closed  bool // handed over: nothing may run any more
+	entries         map[ID]*entry
+	expiry          expiryHeap
+	maxEntries      int
+	outcomeBytes    int
+	maxOutcomeBytes int
+	lastID          ID
+	ttl             time.Duration
+	closed          bool // no call may begin any more
 }
 
-// NewTable returns a table that remembers at most entries calls and budget bytes of
-// outcomes, and whose tickets live for ttl.
-func NewTable(entries, budget int, ttl time.Duration) *Table {
-	return &Table{entries: map[ID]*entry{}, most: entries, budget: budget, ttl: ttl}
+// NewTable returns a table that holds at most maxEntries calls and begins no call once it holds
+// maxOutcomeBytes of outcomes. Its tickets live for ttl.
+func NewTable(maxEntries, maxOutcomeBytes int, ttl time.Duration) *Table {
+	return &Table{entries: map[ID]*entry{}, maxEntries: maxEntries, maxOutcomeBytes: maxOutcomeBytes, ttl: ttl}
 }
 
-// Mint returns a new ticket and when it expires. Minting takes no memory.
+// Mint returns a new ticket and when it expires. It adds no entry to the table.
 func (t *Table) Mint(now time.Time) (ID, time.Time) {
-	t.nextID++
-	return t.nextID, now.Add(t.ttl)
+	t.lastID++
+	return t.lastID, now.Add(t.ttl)
 }
 
 // TTL returns how long a ticket lives.
 func (t *Table) TTL() time.Duration { return t.ttl }
 
-// Len returns how many tickets are remembered.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Begin asks to run a call under a ticket that expires at expires.
+// Begin asks to run a call under a ticket that expires at expires. request is the hash of the
+// request. If the answer is [Run], the caller runs the call and reports its end with [Table.End],
+// [Table.EndNotRun] or [Table.EndUnknown].
 func (t *Table) Begin(now time.Time, id ID, expires time.Time, request uint64) (Answer, Outcome) {
-	t.forget(now)
+	t.dropExpired(now)
 	if e := t.entries[id]; e != nil {
 		if e.answer != NotRun && e.request != request {
 			return Mismatch, Outcome{}
@@ -88,56 +91,58 @@
 	if t.closed {
 		return t.Ask(now, id, expires)
 	}
-	if !t.valid(now, id, expires) {
+	if !t.mintedAndUnexpired(now, id, expires) {
 		return Expired, Outcome{}
 	}
-	if len(t.entries) >= t.most || t.bytes >= t.budget {
+	if len(t.entries) >= t.maxEntries || t.outcomeBytes >= t.maxOutcomeBytes {
 		return Full, Outcome{}
 	}
 	t.add(&entry{id: id, request: request, answer: Running, expires: expires})
 	return Run, Outcome{}
 }
 
-// Ask tells what became of a ticket. A ticket never seen gets a tombstone, so that the
-// answer not run stays true; without room for one the answer is Unknown.
+// Ask returns the state of a ticket without running a call. A ticket without an entry gets a
+// tombstone, so that the answer [NotRun] stays true. Without room for a tombstone the answer is
+// [Unknown].
 func (t *Table) Ask(now time.Time, id ID, expires time.Time) (Answer, Outcome) {
-	t.forget(now)
+	t.dropExpired(now)
 	if e := t.entries[id]; e != nil {
 		return e.answer, e.outcome
 	}
-	if !t.valid(now, id, expires) {
+	if !t.mintedAndUnexpired(now, id, expires) {
 		return Expired, Outcome{}
 	}
-	if len(t.entries) >= 2*t.most {
+	if len(t.entries) >= 2*t.maxEntries {
 		return Unknown, Outcome{}
 	}
 	t.add(&entry{id: id, answer: NotRun, expires: expires})
 	return NotRun, Outcome{}
 }
 
-// End records what a call answered.
+// End records the outcome of a call.
 func (t *Table) End(id ID, o Outcome) {
 	if e := t.entries[id]; e != nil && e.answer == Running {
 		e.answer, e.outcome = Ran, o
-		t.bytes += len(o.Body)
+		t.outcomeBytes += len(o.Body)
 	}
 }
 
 // EndNotRun records that a call that was begun certainly did not run.
-func (t *Table) EndNotRun(id ID) { t.end(id, NotRun) }
+func (t *Table) EndNotRun(id ID) { t.endAs(id, NotRun) }
 
 // EndUnknown records that the answer of a call was lost.
-func (t *Table) EndUnknown(id ID) { t.end(id, Unknown) }
+func (t *Table) EndUnknown(id ID) { t.endAs(id, Unknown) }
 
-func (t *Table) end(id ID, a Answer) {
+func (t *Table) endAs(id ID, a Answer) {
 	if e := t.entries[id]; e != nil && e.answer == Running {
 		e.answer = a
 	}
 }
 
-// valid tells whether a ticket can have been minted here and has not expired.
-func (t *Table) valid(now time.Time, id ID, expires time.Time) bool {
-	return id > 0 && id <= t.nextID && now.Before(expires) && !expires.After(now.Add(t.ttl))
+// mintedAndUnexpired reports whether a ticket can have been minted here and has not expired. An
+// expiry beyond the time to live was not set by Mint.
+func (t *Table) mintedAndUnexpired(now time.Time, id ID, expires time.Time) bool {
+	return id > 0 && id <= t.lastID && now.Before(expires) && !expires.After(now.Add(t.ttl))
 }
 
 func (t *Table) add(e *entry) {
@@ -145,8 +150,9 @@
 	heap.Push(&t.expiry, e)
 }
 
-// forget drops the tickets that have expired. One that still runs is kept.
-func (t *Table) forget(now time.Time) {
+// dropExpired drops the entries that have expired. One that is still running is kept for another
+// time to live.
+func (t *Table) dropExpired(now time.Time) {
 	for len(t.expiry) > 0 && !now.Before(t.expiry[0].expires) {
 		e := heap.Pop(&t.expiry).(*entry)
 		if e.answer == Running {
@@ -154,11 +160,12 @@
 			heap.Push(&t.expiry, e)
 			return
 		}
-		t.bytes -= len(e.outcome.Body)
+		t.outcomeBytes -= len(e.outcome.Body)
 		delete(t.entries, e.id)
 	}
 }
 
+// expiryHeap orders entries by expiry, the earliest first.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/core/ticket/table_test.go
+++ b/core/ticket/table_test.go
@@ -18,6 +18,7 @@
 
 const ttl = time.Minute
 
+// Checks the answer of Begin for each state of a ticket.
 func TestAnswers(t *testing.T) {
 	done := Outcome{Status: 200, Body: []byte("logged")}
 	for name, c := range map[string]struct {
@@ -50,7 +51,8 @@
 	}
 }
 
-func TestTicketsNeverMintedAreRefused(t *testing.T) {
+// A ticket that this table did not mint, or whose expiry was forged, must not run a call.
+func TestTicketsNeverMintedAreExpired(t *testing.T) {
 	b := NewTable(10, 1000, ttl)
 	got, _ := b.Begin(epoch, 1, epoch.Add(ttl), 1)
 	assert.Equal(t, got, Expired)
@@ -59,6 +61,8 @@
 	assert.Equal(t, got, Expired)
 }
 
+// Dropping an entry early would let its call run twice. A full table must refuse new calls until
+// entries have expired.
 func TestFullTableRefusesInsteadOfForgetting(t *testing.T) {
 	b := NewTable(2, 1000, ttl)
 	var ids []ID
@@ -72,7 +76,7 @@
 	}
 	got, _ := b.Begin(epoch, ids[0], epoch.Add(ttl), 1)
 	assert.Equal(t, got, Running)
-	got, _ = b.Begin(epoch.Add(ttl), ids[2], epoch.Add(2*ttl), 1) // the first ended? it still runs
+	got, _ = b.Begin(epoch.Add(ttl), ids[2], epoch.Add(2*ttl), 1) // expired, but still running, so it is kept
 	assert.Equal(t, got, Full)
 	b.End(ids[0], Outcome{})
 	b.EndNotRun(ids[1])
@@ -81,6 +85,7 @@
 	assert.Equal(t, b.Len(), 0)
 }
 
+// Outcomes that fill the byte limit must stop new calls, so that memory stays bounded.
 func TestOutcomeBytesAreBounded(t *testing.T) {
 	b := NewTable(10, 4, ttl)
 	id, expires := b.Mint(epoch)
@@ -91,6 +96,8 @@
 	assert.Equal(t, got, Full)
 }
 
+// The table that inherits the entries must answer for every ticket of the process that left, and
+// run none.
 func TestHandover(t *testing.T) {
 	b := NewTable(10, 1000, ttl)
 	var ids []ID
@@ -103,18 +110,19 @@
 	}
 	b.End(ids[0], Outcome{Status: 200})
 	b.EndNotRun(ids[1])
-	heir := Inherit(last(b), remembered(b), 10, ttl)
+	inherited := Inherit(closedLastID(b), closedRecords(b), 10, ttl)
 	for i, want := range []Answer{Ran, NotRun, Unknown, NotRun} {
-		got, _ := heir.Ask(epoch, ids[i], epoch.Add(ttl))
+		got, _ := inherited.Ask(epoch, ids[i], epoch.Add(ttl))
 		assert.Equal(t, got, want, "ticket %d", i)
-		got, _ = heir.Begin(epoch, ids[i], epoch.Add(ttl), 1)
+		got, _ = inherited.Begin(epoch, ids[i], epoch.Add(ttl), 1)
 		assert.Equal(t, got, want, "ticket %d", i)
 	}
 }
 
-func last(b *Table) ID                 { id, _ := b.Close(); return id }
-func remembered(b *Table) []Remembered { _, all := b.Close(); return all }
+func closedLastID(b *Table) ID        { id, _ := b.Close(); return id }
+func closedRecords(b *Table) []Record { _, all := b.Close(); return all }
 
+// A token survives encoding, and changed or foreign texts are refused.
 func TestToken(t *testing.T) {
 	key := []byte("0123456789abcdef")
 	want := Token{Team: "t", Instance: "i", Peer: "10.0.0.1:1", Process: 1 << 63, ID: 7, Expires: time.Hour}
@@ -130,8 +138,9 @@
 	}
 }
 
-// TestOrderings lets begins, ends, questions, time and the handover come in any order.
-func TestOrderings(t *testing.T) {
+// Begins, ends, questions, time and the handover come in random order. No ticket may run twice, or
+// run after it was reported as not run, or be reported as run when it did not.
+func TestAtMostOneRunInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewTable(rapid.IntRange(1, 6).Draw(t, "entries"), 1000, ttl)
 		now := epoch
@@ -145,13 +154,13 @@
 					t.Fatalf("ticket %d runs again", id)
 				}
 				if denied[id] {
-					t.Fatalf("ticket %d runs after it was said not to have run", id)
+					t.Fatalf("ticket %d runs after it was reported as not run", id)
 				}
 			case NotRun:
 				denied[id] = true
 			case Ran:
 				if runs[id] == 0 {
-					t.Fatalf("ticket %d is said to have run", id)
+					t.Fatalf("ticket %d is reported as run but did not run", id)
 				}
 			}
 		}
--- a/gateway/once/tickets.go
+++ b/gateway/once/tickets.go
@@ -307,9 +307,9 @@
 // HandleHandOver takes over the outcomes of an instance that leaves.
 func (t *Tickets) HandleHandOver(req *peerv1.HandOverTicketsRequest) {
 	now := time.Now()
-	var all []ticket.Remembered
+	var all []ticket.Record
 	for _, o := range req.Outcomes {
-		all = append(all, ticket.Remembered{
+		all = append(all, ticket.Record{
 			ID: ticket.ID(o.Id), Request: o.Request, Answer: decodeAnswer(o.Answer),
 			Outcome: ticket.Outcome{Status: int(o.Status), ContentType: o.ContentType, Body: o.Body},
 			Expires: now.Add(time.Duration(o.ExpiresInMs) * time.Millisecond),
