--- a/gateway/running/running.go
+++ b/gateway/running/running.go
@@ -68,7 +68,7 @@
 
 func (r *Running) expire(ctx context.Context, now time.Time) {
 	r.mu.Lock()
-	r.dir.OwnerGone(now, r.gone)
+	r.dir.StartOrphanGrace(now, r.gone)
 	orphans := r.dir.Expire(now)
 	r.mu.Unlock()
 	for _, o := range orphans {
