--- a/core/listing/list.go
+++ b/core/listing/list.go
@@ -10,86 +10,89 @@
 
 // Settings of a list. The zero value is not usable; see [DefaultSettings].
 type Settings struct {
-	// Outage is how long the store has to be unreachable for entries to lapse: less than that can't
-	// be told from a cut connection, and heartbeats survive it.
-	Outage time.Duration
-	// Grace is how long after an outage a missing entry still counts.
+	// MinOutage is how long the store has to be unreachable before entries may have expired. A
+	// shorter failure can't be told from a broken connection, and heartbeats survive it.
+	MinOutage time.Duration
+	// Grace is how long after an outage a missing entry is kept.
 	Grace time.Duration
 }
 
-// DefaultSettings returns the settings used by the daemon. Entries lapse after three heartbeats, of
-// about a second each, and live endpoints are back within two seconds; the margin of 0.2 s is for the
-// answer that told so.
+// DefaultSettings returns the settings used by the daemon. Entries expire after three heartbeats of
+// about a second each, and live endpoints are back within two seconds after an outage. Grace is
+// shorter by 0.2 s, to allow for the answer that ended the outage.
 func DefaultSettings() Settings {
-	return Settings{Outage: time.Second, Grace: 1800 * time.Millisecond}
+	return Settings{MinOutage: time.Second, Grace: 1800 * time.Millisecond}
 }
 
-// List is the endpoints as the platform lists them, an entry for each name. An endpoint that starts again under its name
-// replaces the one before.
+// List is the platform's list of endpoints, with one entry for each name. An endpoint that restarts
+// under its name replaces its predecessor.
 type List struct {
-	set       Settings
-	entries   map[string]entry // by name
-	puts      uint64           // counts names that came
-	failing   bool
-	failedAt  time.Duration // since when the store has been unreachable
-	graceEnds time.Duration
+	settings         Settings
+	entries          map[string]entry // by name
+	lastOrder        uint64           // order of the newest entry
+	unreachable      bool
+	unreachableSince time.Duration // when the first failed read was sent
+	graceEnds        time.Duration
 }
 
 type entry struct {
 	routing.Endpoint
-	order   uint64 // of names: the later came later
-	missing bool   // dropped by the store, kept until the grace ends
-	ended   bool   // its address answered for another one
+	order   uint64 // rises with each new endpoint
+	missing bool   // no longer listed, kept until graceEnds
+	ended   bool   // its address answered for another endpoint
 }
 
 // New returns an empty list.
-func New(s Settings) *List { return &List{set: s, entries: map[string]entry{}} }
+func New(s Settings) *List { return &List{settings: s, entries: map[string]entry{}} }
 
-// Unreachable takes a failed read that began at a time.
-func (l *List) Unreachable(began time.Duration) {
-	if !l.failing {
-		l.failing, l.failedAt = true, began
+// ReadFailed records a failed read of the list that was sent at began.
+func (l *List) ReadFailed(began time.Duration) {
+	if !l.unreachable {
+		l.unreachable, l.unreachableSince = true, began
 	}
 }
 
-// Reached takes a read that succeeded.
-func (l *List) Reached(now time.Duration) {
-	if l.failing && now-l.failedAt >= l.set.Outage {
-		l.graceEnds = now + l.set.Grace
+// ReadSucceeded records a successful read. After an outage of at least MinOutage it starts the
+// grace period.
+func (l *List) ReadSucceeded(now time.Duration) {
+	if l.unreachable && now-l.unreachableSince >= l.settings.MinOutage {
+		l.graceEnds = now + l.settings.Grace
 	}
-	l.failing = false
+	l.unreachable = false
 }
 
-// Put takes an entry.
+// Put adds or updates an entry.
 func (l *List) Put(e routing.Endpoint) {
 	name := e.CalledBy()
 	old, known := l.entries[name]
 	if !known || old.ID != e.ID {
-		l.puts++
-		old = entry{order: l.puts}
+		l.lastOrder++
+		old = entry{order: l.lastOrder}
 	}
 	l.entries[name] = entry{Endpoint: e, order: old.order, ended: old.ended}
 }
 
-// Ended takes that addresses answered for others than some endpoints, by id. What says so is the address itself, so it
-// counts for more than the order in which entries come: an endpoint that was cut off from the store may have crashed
-// behind the cut, and what it wrote before arrives after what its successor wrote. It tells whether that is new.
-func (l *List) Ended(ids ...string) bool {
-	news := false
+// MarkEnded records that the addresses of the endpoints with these IDs answered for other
+// endpoints. The address itself is a better source than the order in which entries arrive: an
+// endpoint that could not reach the store may have crashed meanwhile, and what it had written
+// arrives after the entry of its successor. MarkEnded reports whether any of this was new.
+func (l *List) MarkEnded(ids ...string) bool {
+	changed := false
 	for name, e := range l.entries {
 		if !e.ended && slices.Contains(ids, e.ID) {
-			e.ended, news = true, true
+			e.ended, changed = true, true
 			l.entries[name] = e
 		}
 	}
-	return news
+	return changed
 }
 
-// Drop takes an entry that can't be made use of: whatever was known under its name is not used any more, also while
-// missing entries still count.
-func (l *List) Drop(name string) { delete(l.entries, name) }
+// Forget deletes the entry of a name at once, also during the grace period. It is called when the
+// listed entry can't be used, so that the earlier one is not used any more either.
+func (l *List) Forget(name string) { delete(l.entries, name) }
 
-// Remove takes the removal of an entry.
+// Remove records that an entry is no longer listed. During the grace period the entry is kept as
+// missing.
 func (l *List) Remove(now time.Duration, name string) {
 	e, ok := l.entries[name]
 	if !ok {
@@ -103,7 +106,7 @@
 	l.entries[name] = e
 }
 
-// Replace takes the whole list.
+// Replace records the whole list.
 func (l *List) Replace(now time.Duration, all []routing.Endpoint) {
 	listed := make(map[string]bool, len(all))
 	for _, e := range all {
@@ -117,22 +120,23 @@
 	}
 }
 
-// Tick drops what is still missing after the grace, and tells whether anything was.
+// Tick deletes the entries that are still missing after the grace period, and reports whether there
+// were any.
 func (l *List) Tick(now time.Duration) bool {
 	if now < l.graceEnds {
 		return false
 	}
 	dropped := false
-	for id, e := range l.entries {
+	for name, e := range l.entries {
 		if e.missing {
-			delete(l.entries, id)
+			delete(l.entries, name)
 			dropped = true
 		}
 	}
 	return dropped
 }
 
-// Deadline returns when [List.Tick] is due; false when nothing is missing.
+// Deadline returns when [List.Tick] has to be called; false when no entry is missing.
 func (l *List) Deadline() (time.Duration, bool) {
 	for _, e := range l.entries {
 		if e.missing {
@@ -142,11 +146,12 @@
 	return 0, false
 }
 
-// Endpoints returns the endpoints that count, by id: those of known services that have not ended, of which an address has
-// one at a time. An endpoint that crashed stays listed until its heartbeats are missed, but its address may be used again
-// before that: it belongs to the one that started last or, where that is not told, to the one that came last.
+// Endpoints returns the endpoints to use, sorted by ID: those of known services that have not
+// ended, at most one for each address. A crashed endpoint stays listed until its heartbeats are
+// missed, and its address may be used again before that. The address belongs to the endpoint that
+// started last or, where the start is unknown, to the one that was listed last.
 func (l *List) Endpoints(known func(service string) bool) []routing.Endpoint {
-	owners := map[string]entry{}
+	byAddress := map[string]entry{}
 	out := make([]routing.Endpoint, 0, len(l.entries))
 	for _, e := range l.entries {
 		switch {
@@ -154,22 +159,22 @@
 		case e.Address == "":
 			out = append(out, e.Endpoint)
 		default:
-			if o, taken := owners[e.Address]; !taken || e.after(&o) {
-				owners[e.Address] = e
+			if other, taken := byAddress[e.Address]; !taken || e.startedAfter(&other) {
+				byAddress[e.Address] = e
 			}
 		}
 	}
-	for _, e := range owners {
+	for _, e := range byAddress {
 		out = append(out, e.Endpoint)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
 
-// after tells whether an entry's endpoint started after another's.
-func (e *entry) after(o *entry) bool {
-	if e.Born != o.Born && e.Born != 0 && o.Born != 0 {
-		return e.Born > o.Born
+// startedAfter reports whether an entry's endpoint started after another's.
+func (e *entry) startedAfter(other *entry) bool {
+	if e.Born != other.Born && e.Born != 0 && other.Born != 0 {
+		return e.Born > other.Born
 	}
-	return e.order > o.order
+	return e.order > other.order
 }
--- a/core/listing/list_test.go
+++ b/core/listing/list_test.go
@@ -11,7 +11,8 @@
 
 const second = time.Second
 
-func filled(ids ...string) *List {
+// listOf returns a list with endpoints of these IDs.
+func listOf(ids ...string) *List {
 	l := New(DefaultSettings())
 	for _, id := range ids {
 		l.Put(routing.Endpoint{ID: id})
@@ -21,7 +22,7 @@
 
 func anyService(string) bool { return true }
 
-func ids(l *List) []string {
+func endpointIDs(l *List) []string {
 	out := []string{}
 	for _, e := range l.Endpoints(anyService) {
 		out = append(out, e.ID)
@@ -29,76 +30,81 @@
 	return out
 }
 
-func TestRemovalCountsAtOnceInCalmTimes(t *testing.T) {
-	l := filled("a", "b")
+// An endpoint that left must get no new requests, so without an outage it is dropped at once.
+func TestRemovalTakesEffectAtOnceWithoutOutage(t *testing.T) {
+	l := listOf("a", "b")
 	l.Remove(10*second, "a")
-	assert.DeepEqual(t, ids(l), []string{"b"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"b"})
 }
 
-func TestLapsedEntriesCountUntilTheGraceEnds(t *testing.T) {
-	l := filled("a", "b", "c")
-	l.Unreachable(10 * second)
-	l.Unreachable(12 * second)
-	l.Reached(14 * second)
+// During an outage of the store the entries of live endpoints expire. Dropping them at its end
+// would leave no endpoints; they are kept until the grace period ends.
+func TestMissingEntriesAreKeptUntilGraceEnds(t *testing.T) {
+	l := listOf("a", "b", "c")
+	l.ReadFailed(10 * second)
+	l.ReadFailed(12 * second)
+	l.ReadSucceeded(14 * second)
 	l.Replace(14*second, []routing.Endpoint{{ID: "c"}})
-	assert.DeepEqual(t, ids(l), []string{"a", "b", "c"})
-	l.Put(routing.Endpoint{ID: "a"}) // back in time
+	assert.DeepEqual(t, endpointIDs(l), []string{"a", "b", "c"})
+	l.Put(routing.Endpoint{ID: "a"}) // back before the grace ends
 	at, due := l.Deadline()
 	assert.Assert(t, due)
 	assert.Equal(t, at, 15800*time.Millisecond)
 	assert.Assert(t, !l.Tick(at-1))
 	assert.Assert(t, l.Tick(at))
-	assert.DeepEqual(t, ids(l), []string{"a", "c"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"a", "c"})
 	_, due = l.Deadline()
 	assert.Assert(t, !due)
 }
 
-func TestACutWatchIsNoOutage(t *testing.T) {
-	l := filled("a", "b")
-	l.Unreachable(10 * second)
-	l.Reached(10*second + 300*time.Millisecond)
+// A failure that is shorter than MinOutage, such as a broken watch, starts no grace period.
+func TestShortReadFailureIsNoOutage(t *testing.T) {
+	l := listOf("a", "b")
+	l.ReadFailed(10 * second)
+	l.ReadSucceeded(10*second + 300*time.Millisecond)
 	l.Replace(10*second+300*time.Millisecond, []routing.Endpoint{{ID: "a"}})
-	assert.DeepEqual(t, ids(l), []string{"a"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"a"})
 }
 
-// TestAnAddressBelongsToTheLastThatCame: an engine that crashed and started again is listed twice for
-// some seconds. Requests sent to the first one are refused by the second, or meet a closed port.
-func TestAnAddressBelongsToTheLastThatCame(t *testing.T) {
+// An engine that crashed and restarted is listed twice for some seconds. Requests to the old entry
+// would be refused by the new engine, or meet a closed port.
+func TestAddressBelongsToNewestEntry(t *testing.T) {
 	l := New(DefaultSettings())
 	l.Put(routing.Endpoint{ID: "old", Address: "10.0.0.1:80"})
 	l.Put(routing.Endpoint{ID: "new", Address: "10.0.0.1:80"})
-	assert.DeepEqual(t, ids(l), []string{"new"})
-	l.Put(routing.Endpoint{ID: "old", Address: "10.0.0.1:80"}) // a late heartbeat's event
-	assert.DeepEqual(t, ids(l), []string{"new"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"new"})
+	l.Put(routing.Endpoint{ID: "old", Address: "10.0.0.1:80"}) // a late heartbeat
+	assert.DeepEqual(t, endpointIDs(l), []string{"new"})
 	l.Replace(second, []routing.Endpoint{{ID: "new", Address: "10.0.0.1:80"}, {ID: "old", Address: "10.0.0.1:80"}})
-	assert.DeepEqual(t, ids(l), []string{"new"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"new"})
 	l.Remove(second, "old")
 	l.Remove(second, "new")
 	l.Put(routing.Endpoint{ID: "third", Address: "10.0.0.1:80"})
-	assert.DeepEqual(t, ids(l), []string{"third"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"third"})
 }
 
-// TestOneThatStartsAgainReplacesTheOneBefore: under the name that it had, with a new start.
-func TestOneThatStartsAgainReplacesTheOneBefore(t *testing.T) {
+// An endpoint that restarts under the same name replaces its former entry, although its ID differs.
+func TestRestartedEndpointReplacesPredecessor(t *testing.T) {
 	l := New(DefaultSettings())
 	l.Put(routing.Endpoint{ID: "a@1", Name: "a", Address: "10.0.0.1:80", Born: 1})
 	l.Put(routing.Endpoint{ID: "b@1", Name: "b", Address: "10.0.0.2:80", Born: 1})
 	l.Put(routing.Endpoint{ID: "a@2", Name: "a", Address: "10.0.0.1:80", Born: 2})
-	assert.DeepEqual(t, ids(l), []string{"a@2", "b@1"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"a@2", "b@1"})
 	l.Remove(second, "a")
-	assert.DeepEqual(t, ids(l), []string{"b@1"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"b@1"})
 }
 
-// TestTheOneThatStartedLastHasTheAddress: in whichever order the entries come.
-func TestTheOneThatStartedLastHasTheAddress(t *testing.T) {
+// Entries may arrive in any order; of two with the same address, the one that started last is used.
+func TestAddressBelongsToLatestStart(t *testing.T) {
 	l := New(DefaultSettings())
 	l.Put(routing.Endpoint{ID: "new@9", Name: "new", Address: "10.0.0.1:80", Born: 9})
 	l.Put(routing.Endpoint{ID: "old@4", Name: "old", Address: "10.0.0.1:80", Born: 4})
-	assert.DeepEqual(t, ids(l), []string{"new@9"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"new@9"})
 }
 
-// TestAnUnknownServiceTakesNoAddress: an entry of a service that no configuration names may be anybody's.
-func TestAnUnknownServiceTakesNoAddress(t *testing.T) {
+// An entry of a service that no configuration names may come from anyone. It must not take an
+// address from an endpoint that is in use.
+func TestUnknownServiceTakesNoAddress(t *testing.T) {
 	l := New(DefaultSettings())
 	l.Put(routing.Endpoint{ID: "a", Address: "10.0.0.1:80", Service: "plans"})
 	l.Put(routing.Endpoint{ID: "x", Address: "10.0.0.1:80", Service: "nobody's"})
@@ -108,28 +114,29 @@
 	assert.Equal(t, all[0].ID, "a")
 }
 
-// TestAnEntryThatTurnsBadIsNotUsed: not even while missing entries still count, and it is used again once it is good.
-func TestAnEntryThatTurnsBadIsNotUsed(t *testing.T) {
-	l := filled("a", "b")
-	l.Unreachable(10 * second)
-	l.Reached(14 * second)
-	l.Drop("a")
+// An entry that becomes unusable is not used even during the grace period, and is used again once
+// it is usable.
+func TestUnusableEntryIsForgotten(t *testing.T) {
+	l := listOf("a", "b")
+	l.ReadFailed(10 * second)
+	l.ReadSucceeded(14 * second)
+	l.Forget("a")
 	l.Replace(14*second, nil)
-	assert.DeepEqual(t, ids(l), []string{"b"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"b"})
 	l.Put(routing.Endpoint{ID: "a"})
-	assert.DeepEqual(t, ids(l), []string{"a", "b"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"a", "b"})
 }
 
-// TestAnAddressThatAnswersForAnotherOne: an engine crashed while it was cut off from the store and started again under
-// another name. What the first one had written arrives last, and would hide the one that serves.
-func TestAnAddressThatAnswersForAnotherOne(t *testing.T) {
+// An engine crashed while it could not reach the store and restarted under another name. Its old
+// entry arrives last and would hide the new one.
+func TestEndedEndpointLosesAddress(t *testing.T) {
 	l := New(DefaultSettings())
 	l.Put(routing.Endpoint{ID: "second", Address: "10.0.0.1:80"})
 	l.Put(routing.Endpoint{ID: "first", Address: "10.0.0.1:80"})
-	assert.DeepEqual(t, ids(l), []string{"first"})
-	assert.Assert(t, l.Ended("first"))
-	assert.Assert(t, !l.Ended("first", "unknown"))
-	assert.DeepEqual(t, ids(l), []string{"second"})
+	assert.DeepEqual(t, endpointIDs(l), []string{"first"})
+	assert.Assert(t, l.MarkEnded("first"))
+	assert.Assert(t, !l.MarkEnded("first", "unknown"))
+	assert.DeepEqual(t, endpointIDs(l), []string{"second"})
 	l.Put(routing.Endpoint{ID: "first", Address: "10.0.0.1:80"})
-	assert.DeepEqual(t, ids(l), []string{"second"}) // not by a late heartbeat
+	assert.DeepEqual(t, endpointIDs(l), []string{"second"}) // a late heartbeat does not bring it back
 }
--- a/gateway/follow/endpoints.go
+++ b/gateway/follow/endpoints.go
@@ -46,13 +46,13 @@
 	// Of two entries with one address, the one that was written last is put last, and so counts.
 	sort.Slice(objects, func(i, j int) bool { return objects[i].Revision < objects[j].Revision })
 	e.mu.Lock()
-	e.list.Reached(now)
+	e.list.ReadSucceeded(now)
 	var all []routing.Endpoint
 	for i := range objects {
 		if d, ok := e.decode(&objects[i]); ok {
 			all = append(all, d)
 		} else {
-			e.list.Drop(objects[i].Name)
+			e.list.Forget(objects[i].Name)
 		}
 	}
 	e.list.Replace(now, all)
@@ -63,7 +63,7 @@
 func (e *Endpoints) changed(_ time.Duration, objects []platform.Object) {
 	now := e.loop.Now()
 	e.mu.Lock()
-	e.list.Reached(now)
+	e.list.ReadSucceeded(now)
 	for i := range objects {
 		e.take(now, &objects[i])
 	}
@@ -81,7 +81,7 @@
 		e.list.Put(d)
 		return
 	}
-	e.list.Drop(o.Name)
+	e.list.Forget(o.Name)
 }
 
 func (e *Endpoints) decode(o *platform.Object) (routing.Endpoint, bool) {
@@ -96,13 +96,13 @@
 func (e *Endpoints) unreachable(began time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.list.Unreachable(began)
+	e.list.ReadFailed(began)
 }
 
 // Ended takes endpoints, by id, whose addresses answered for others.
 func (e *Endpoints) Ended(ids ...string) {
 	e.mu.Lock()
-	news := e.list.Ended(ids...)
+	news := e.list.MarkEnded(ids...)
 	e.mu.Unlock()
 	if news {
 		e.publish(true)
