--- a/core/cursor/cursor.go
+++ b/core/cursor/cursor.go
@@ -1,11 +1,11 @@
-// Package cursor encodes what a caller keeps of its generation, so that any instance
-// can go on with it after the one that served it is gone: an opaque text, signed, that
-// costs the system nothing until it is used.
+// Package cursor encodes the position that a caller has reached in a generation, so that any
+// instance can continue the generation when the one that served it is gone. A cursor is an opaque,
+// signed text; the system stores nothing for it.
 //
-// A cursor is "<head>.<tail>": the head names team, deployment, generation, attempt,
-// endpoint and stream, and is the same for all tokens of an attempt; the tail holds
-// index, rolling hash and the signature over both, so that one more token costs one
-// HMAC and no allocation. The package does no I/O.
+// A cursor is "<head>.<tail>". The head names team, deployment, generation, attempt, endpoint and
+// stream, and is the same for all tokens of an attempt. The tail holds the index, the rolling hash
+// and the signature over both parts, so a further token costs one HMAC and no allocation. The
+// package does no I/O.
 package cursor
 
 import (
@@ -21,18 +21,18 @@
 
 // Errors of [Decode].
 var (
-	// ErrMalformed: the text is no cursor.
+	// ErrMalformed means that the text is not a cursor.
 	ErrMalformed = errors.New("cursor: malformed")
-	// ErrSignature: the signature is not ours, or something was changed.
+	// ErrSignature means that the text was not signed with the key, or was changed.
 	ErrSignature = errors.New("cursor: bad signature")
 )
 
-// Head is the part of a cursor that stays the same for an attempt.
+// Head is the part of a cursor that is the same for all tokens of an attempt.
 type Head struct {
 	Team       string `json:"t"`
 	Deployment string `json:"d"`
 	Generation string `json:"g"`
-	// Model and Version are what the generation runs on; no other may continue it.
+	// Model and Version are what the generation runs on; no other model or version may continue it.
 	Model   string `json:"m"`
 	Version string `json:"v"`
 	// Request is the hash of the request's body.
@@ -42,8 +42,7 @@
 	Stream   string `json:"s"`
 }
 
-// Cursor names a place in a generation: the caller holds Index tokens, whose rolling
-// hash is Hash.
+// Cursor is a position in a generation: the caller holds Index tokens, whose rolling hash is Hash.
 type Cursor struct {
 	Head
 	Index int
@@ -55,17 +54,17 @@
 	tailLen = 4 + 8 + macLen
 )
 
-// domain keeps these signatures apart from others made with the same key.
+// domain separates these signatures from others made with the same key.
 var domain = []byte("agateway cursor\x00")
 
 var encoding = base64.RawURLEncoding
 
 // Encoder writes the cursors of one attempt. It is not safe for concurrent use.
 type Encoder struct {
-	mac  hash.Hash
-	head []byte
-	sum  [sha256.Size]byte
-	tail [tailLen]byte
+	mac       hash.Hash
+	head      []byte
+	macBuffer [sha256.Size]byte
+	tail      [tailLen]byte
 }
 
 // NewEncoder returns an encoder that signs with key.
@@ -75,7 +74,7 @@
 	return e
 }
 
-// SetHead changes the head, when another attempt took over.
+// SetHead changes the head when another attempt continues the generation.
 func (e *Encoder) SetHead(h Head) {
 	raw, err := json.Marshal(h)
 	if err != nil { // a struct of strings and numbers always encodes
@@ -84,20 +83,21 @@
 	e.head = append(encoding.AppendEncode(e.head[:0], raw), '.')
 }
 
-// Append appends the cursor for index and hash to dst.
-func (e *Encoder) Append(dst []byte, index int, rolling uint64) []byte {
+// Append appends the cursor for an index and a rolling hash to dst.
+func (e *Encoder) Append(dst []byte, index int, rollingHash uint64) []byte {
 	binary.LittleEndian.PutUint32(e.tail[:4], uint32(index))
-	binary.LittleEndian.PutUint64(e.tail[4:12], rolling)
+	binary.LittleEndian.PutUint64(e.tail[4:12], rollingHash)
 	e.mac.Reset()
 	_, _ = e.mac.Write(domain)
 	_, _ = e.mac.Write(e.head)
 	_, _ = e.mac.Write(e.tail[:12])
-	copy(e.tail[12:], e.mac.Sum(e.sum[:0])[:macLen])
+	copy(e.tail[12:], e.mac.Sum(e.macBuffer[:0])[:macLen])
 	dst = append(dst, e.head...)
 	return encoding.AppendEncode(dst, e.tail[:])
 }
 
-// Decode checks a cursor's signature and returns it.
+// Decode verifies the signature of a cursor and returns the cursor. The error is [ErrMalformed] or
+// [ErrSignature].
 func Decode(key []byte, text string) (Cursor, error) {
 	dot := strings.IndexByte(text, '.')
 	if dot < 0 {
@@ -117,6 +117,7 @@
 	return decodeSigned(text[:dot], tail)
 }
 
+// decodeSigned decodes a head and a tail whose signature was verified.
 func decodeSigned(head string, tail []byte) (Cursor, error) {
 	raw, err := encoding.DecodeString(head)
 	if err != nil {
--- a/core/cursor/cursor_test.go
+++ b/core/cursor/cursor_test.go
@@ -13,6 +13,7 @@
 	head = Head{Team: "almaty-desk", Deployment: "brief-llm", Generation: "g", Request: 1 << 63, Attempt: 3, Endpoint: "e", Stream: "s"}
 )
 
+// A cursor decodes to the head, index and hash that it was made from.
 func TestRoundTrip(t *testing.T) {
 	e := NewEncoder(key, head)
 	for _, index := range []int{0, 1, 70000} {
@@ -22,6 +23,8 @@
 	}
 }
 
+// A caller must not be able to continue a generation of another team. Cursors that were changed, or
+// signed with another key, are refused.
 func TestForgedCursorsAreRefused(t *testing.T) {
 	good := string(NewEncoder(key, head).Append(nil, 5, 9))
 	other := head
@@ -47,6 +50,7 @@
 	}
 }
 
+// No text but those signed for head may decode.
 func FuzzDecode(f *testing.F) {
 	f.Add(string(NewEncoder(key, head).Append(nil, 5, 9)))
 	f.Add("a.b")
