--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous ranks members for a key so that all who know the same members agree without a word, and
-// so that a member that comes or goes changes nothing for keys that it does not rank highest for.
+// Package rendezvous ranks members for a key by rendezvous hashing. All instances that know the
+// same members agree on the ranking without coordination, and adding or removing a member changes
+// nothing for keys that it does not rank highest for.
 package rendezvous
 
 import (
@@ -8,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns how high a member ranks for a key.
+// Weight returns the weight of a member for a key; the highest weight ranks first.
 func Weight(key, member string) uint64 { return xxhash.Sum64String(key + "\x00" + member) }
 
-// Mix returns how high a member ranks for a key, both given as hashes: for rankings that are made for each request. It
-// takes a nanosecond, where [Weight] takes fifty.
-func Mix(key, member uint64) uint64 {
+// WeightOfHashes returns the weight of a member for a key, both given as hashes. It is meant for
+// rankings that are made for each request: it takes 1 ns, where [Weight] takes 50 ns.
+func WeightOfHashes(key, member uint64) uint64 {
 	// The finalizer of SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators).
 	x := key ^ member
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -21,15 +22,16 @@
 	return x ^ x>>31
 }
 
-// Rank returns the n members that rank highest for a key, best first.
+// Rank returns the n members that rank highest for a key, best first. It returns all members when
+// there are fewer than n.
 func Rank(key string, members []string, n int) []string {
-	type ranked struct {
+	type weighted struct {
 		member string
 		weight uint64
 	}
-	all := make([]ranked, len(members))
+	all := make([]weighted, len(members))
 	for i, m := range members {
-		all[i] = ranked{m, Weight(key, m)}
+		all[i] = weighted{m, Weight(key, m)}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].weight > all[j].weight })
 	out := make([]string, 0, min(n, len(all)))
--- a/core/rendezvous/rendezvous_test.go
+++ b/core/rendezvous/rendezvous_test.go
@@ -15,8 +15,8 @@
 	return out
 }
 
-// TestOnlyKeysOfTheOneThatLeftMove: and they spread over all others.
-func TestOnlyKeysOfTheOneThatLeftMove(t *testing.T) {
+// When a member is removed, its keys must spread over all others and no other key may move.
+func TestOnlyKeysOfRemovedMemberMove(t *testing.T) {
 	before, after := members(10), members(9)
 	moved := map[string]int{}
 	for i := range 1000 {
@@ -31,7 +31,7 @@
 	assert.Equal(t, len(moved), 9)
 }
 
-func TestRankOfFewerThanAsked(t *testing.T) {
+func TestRankWithFewerMembersThanAsked(t *testing.T) {
 	assert.Equal(t, len(Rank("k", members(2), 5)), 2)
 	assert.Equal(t, len(Rank("k", nil, 1)), 0)
 }
--- a/core/routing/likely.go
+++ b/core/routing/likely.go
@@ -31,7 +31,7 @@
 	}
 	best := make([]rank, 0, n+1)
 	for _, m := range group {
-		w := rendezvous.Mix(prompt, m.hash)
+		w := rendezvous.WeightOfHashes(prompt, m.hash)
 		if len(best) == n && w <= best[n-1].weight || !takes(m) {
 			continue
 		}
--- a/gateway/exchange/peers.go
+++ b/gateway/exchange/peers.go
@@ -117,9 +117,9 @@
 			}
 		}
 	}
-	consider(r.self.ID, rendezvous.Mix(key, r.selfHash))
+	consider(r.self.ID, rendezvous.WeightOfHashes(key, r.selfHash))
 	for i := range r.alive {
-		consider(r.alive[i].ID, rendezvous.Mix(key, r.hashes[i]))
+		consider(r.alive[i].ID, rendezvous.WeightOfHashes(key, r.hashes[i]))
 	}
 	return ids
 }
