--- a/cli/soak/world.go
+++ b/cli/soak/world.go
@@ -105,16 +105,16 @@
 
 func configuration() route.Configuration {
 	to := func(s string) []route.Target { return []route.Target{{Service: s, Weight: 1}} }
-	engine := &route.Engine{Slots: 16, Memory: 88000, Copies: true, Asked: true, CopyKept: 2 * time.Second}
+	engine := &route.Engine{Slots: 16, KVCapacityTokens: 88000, ContinuousCopies: true, CopiesOnRequest: true, CopyTTL: 2 * time.Second}
 	return route.Configuration{
 		Version: 1,
 		Routes: []route.Route{
-			{Name: "brief", Host: host, Prefix: "/brief/", Targets: to("engines"), Stream: true, Repeat: route.Resumable,
-				Timeout: streamWait, Aim: 4 * time.Second, Pause: 700 * time.Millisecond, Attempts: 5},
-			{Name: "log", Host: host, Prefix: "/log/", Targets: to("plain"), Timeout: plainWait, Aim: 300 * time.Millisecond, Attempts: 2},
-			{Name: "ping", Host: host, Prefix: "/ping/", Targets: to("plain"), Repeat: route.Idempotent, Timeout: plainWait, Aim: 300 * time.Millisecond, Attempts: 2},
+			{Name: "brief", Host: host, Prefix: "/brief/", Targets: to("engines"), Stream: true, RetryPolicy: route.Resumable,
+				Timeout: streamWait, TargetLatency: 4 * time.Second, TargetGap: 700 * time.Millisecond, MaxAttempts: 5},
+			{Name: "log", Host: host, Prefix: "/log/", Targets: to("plain"), Timeout: plainWait, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2},
+			{Name: "ping", Host: host, Prefix: "/ping/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: plainWait, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2},
 		},
-		Services: []route.Service{{Name: "engines", Connections: 400, Engine: engine}, {Name: "plain", Connections: 400}},
+		Services: []route.Service{{Name: "engines", MaxConnections: 400, Engine: engine}, {Name: "plain", MaxConnections: 400}},
 		Teams:    []route.Team{{Name: "desk", Keys: []string{keptKey}}},
 	}
 }
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,10 +1,10 @@
-// Package route says where a request may go: which route it takes, which service carries it, which
-// team its key belongs to, and what may be repeated.
+// Package route decides which route and service a request takes, which team its key belongs to, and
+// whether the request may be retried.
 //
-// A [Table] is built once from a [Configuration] and never changes, so it may be read by any number
-// of goroutines; a new configuration is a new table. Looking a route up costs one map access and one
-// comparison a route of that host, longest prefix first.
+// A [Table] is built once from a [Configuration] and never changes, so any number of goroutines may
+// read it. A new configuration is a new table. Looking up a route costs one map access and one prefix
+// comparison for each route of the host, the longest prefix first.
 //
-// Failure modes: a table says nothing of its own age. Whoever serves from it has to know how old the
-// proof is that it is still in force (package revision, [revision.Proof]).
+// Failure modes: a table does not know its own age. A user of a table has to know when it was last
+// proved to be in force (package revision, [revision.Proof]).
 package route
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Repeat says what may be done again when the outcome of a request is unknown.
-type Repeat int
+// RetryPolicy says how a request may be repeated when its outcome is unknown.
+type RetryPolicy int
 
-// Kinds of repetition.
+// Values of RetryPolicy.
 const (
-	// Once: a request may run at most once.
-	Once Repeat = iota
-	// Idempotent: a request may run again.
+	// AtMostOnce means that a request may run at most once.
+	AtMostOnce RetryPolicy = iota
+	// Idempotent means that a request may run again.
 	Idempotent
-	// Resumable: the answer is a stream of numbered events that can be continued elsewhere.
+	// Resumable means that the answer is a stream of numbered events that another endpoint can
+	// continue.
 	Resumable
 )
 
-// Configuration is one version of what operators have set.
+// Configuration is one version of the routes, services, teams and limits that operators have set.
 type Configuration struct {
 	// Version orders configurations; a higher one replaces a lower one.
 	Version  uint64
@@ -25,26 +26,26 @@
 	Limits   Limits
 }
 
-// Route leads requests of a host and path prefix to services.
+// Route maps requests of a host and path prefix to services.
 type Route struct {
 	Name, Host string
 	// Prefix begins and ends with a slash.
-	Prefix  string
-	Targets []Target
-	Repeat  Repeat
-	// Stream tells that the answer is a stream of events.
+	Prefix      string
+	Targets     []Target
+	RetryPolicy RetryPolicy
+	// Stream is set when the answer is a stream of events.
 	Stream bool
-	// Timeout is the longest a caller may be kept waiting; 0 for no bound.
+	// Timeout is the longest that a caller may be kept waiting; 0 for no bound.
 	Timeout time.Duration
-	// Aim is the time within which an answer (of a stream: its first event) is on time.
-	Aim time.Duration
-	// Pause is the longest time between two events of a stream that is on time; 0 for no bound.
-	Pause time.Duration
-	// Attempts is the most endpoints on which one request may run.
-	Attempts int
-	// Rank orders requests under load; 0 is first.
-	Rank int
-	// Public routes need no key.
+	// TargetLatency is the time within which an answer, or the first event of a stream, is on time.
+	TargetLatency time.Duration
+	// TargetGap is the longest time between two events of a stream that is on time; 0 for no bound.
+	TargetGap time.Duration
+	// MaxAttempts is the largest number of endpoints on which one request may run.
+	MaxAttempts int
+	// Priority orders requests under load; 0 goes first.
+	Priority int
+	// Public is set when requests need no key.
 	Public bool
 }
 
@@ -57,41 +58,43 @@
 // Service is a group of interchangeable endpoints.
 type Service struct {
 	Name string
-	// HealthPath answers whether an endpoint thinks it is healthy.
+	// HealthPath is the path at which an endpoint reports whether it is healthy.
 	HealthPath string
-	// Connections is how many connections an endpoint takes from all callers together.
-	Connections int
-	// Engine is set for model engines.
+	// MaxConnections is how many connections an endpoint accepts from all callers together.
+	MaxConnections int
+	// Engine describes the service's model engines; nil for a plain service.
 	Engine *Engine
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is how many requests an engine runs at once.
 	Slots int
-	// Memory is what running requests and cached prompts share, in tokens.
-	Memory int
-	// Copies tells that an engine can keep a copy of a running request's memory at another one
-	// current by itself, Asked that it copies when it is asked to.
-	Copies, Asked bool
-	// CopyKept is how long such a copy is kept after its last part arrived.
-	CopyKept time.Duration
+	// KVCapacityTokens is the engine memory that running requests and cached prompts share, in
+	// tokens.
+	KVCapacityTokens int
+	// ContinuousCopies is set when an engine can keep a copy of a running request's memory at
+	// another engine up to date by itself. CopiesOnRequest is set when it copies that memory when
+	// asked to.
+	ContinuousCopies, CopiesOnRequest bool
+	// CopyTTL is how long such a copy is kept after its last part arrived.
+	CopyTTL time.Duration
 }
 
 // Team is a customer's group that shares keys.
 type Team struct {
 	Name string
 	Keys []string
-	// Rank goes before the route's rank where HasRank is set.
-	Rank    int
-	HasRank bool
+	// Priority takes precedence over the route's priority if HasPriority is set.
+	Priority    int
+	HasPriority bool
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bound the size of a request and the time that a caller may take.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound a request; 0 for no bound.
+	// HeaderBytes and BodyBytes bound the header and the body of a request; 0 for no bound.
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout bounds the time a caller may take to send the header, IdleTimeout
-	// the time a connection may stay open between two requests.
+	// HeaderTimeout bounds the time that a caller may take to send the header. IdleTimeout bounds
+	// the time that a connection may stay open between two requests.
 	HeaderTimeout, IdleTimeout time.Duration
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -6,26 +6,27 @@
 	"strings"
 )
 
-// Table answers where requests go under one configuration.
+// Table looks up routes, services and teams of one configuration.
 type Table struct {
-	version  uint64
-	limits   Limits
-	hosts    map[string][]*Route // longest prefix first
-	services map[string]*Service
-	teams    map[string]*Team // by key
+	version      uint64
+	limits       Limits
+	routesByHost map[string][]*Route // longest prefix first
+	services     map[string]*Service
+	teamsByKey   map[string]*Team // by key
 }
 
-// NewTable returns the table of a configuration.
+// NewTable returns the table of a configuration. It keeps pointers into c, which must not change
+// afterwards.
 func NewTable(c *Configuration) *Table {
 	t := &Table{
 		version: c.Version, limits: c.Limits,
-		hosts: map[string][]*Route{}, services: map[string]*Service{}, teams: map[string]*Team{},
+		routesByHost: map[string][]*Route{}, services: map[string]*Service{}, teamsByKey: map[string]*Team{},
 	}
 	for i := range c.Routes {
 		host := strings.ToLower(c.Routes[i].Host)
-		t.hosts[host] = append(t.hosts[host], &c.Routes[i])
+		t.routesByHost[host] = append(t.routesByHost[host], &c.Routes[i])
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range c.Services {
@@ -33,7 +34,7 @@
 	}
 	for i := range c.Teams {
 		for _, k := range c.Teams[i].Keys {
-			t.teams[k] = &c.Teams[i]
+			t.teamsByKey[k] = &c.Teams[i]
 		}
 	}
 	return t
@@ -45,22 +46,22 @@
 // Limits returns the limits on callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// NeedsKey tells whether requests of routes that are not public have to show a key.
-func (t *Table) NeedsKey() bool { return len(t.teams) > 0 }
+// RequiresKey reports whether requests of routes that are not public need a key.
+func (t *Table) RequiresKey() bool { return len(t.teamsByKey) > 0 }
 
-// Team returns the team that holds a key.
+// Team returns the team that a key belongs to.
 func (t *Table) Team(key string) (*Team, bool) {
-	team, ok := t.teams[key]
+	team, ok := t.teamsByKey[key]
 	return team, ok
 }
 
-// Service returns a service; nil when the configuration does not describe it.
+// Service returns a service; nil if the configuration does not name it.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Match returns the route of a request: among those of the host, the one with the longest
-// prefix that begins the path.
+// Match returns the route of a request: the one of its host whose prefix matches the path and is
+// longest. The port in host is ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.hosts[hostName(host)] {
+	for _, r := range t.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -68,10 +69,10 @@
 	return nil, false
 }
 
-// hostName drops the port of a Host header and folds case.
+// hostName returns the host of a Host header without its port, in lower case.
 func hostName(host string) string {
-	if at, err := netip.ParseAddrPort(host); err == nil {
-		return at.Addr().String()
+	if addrPort, err := netip.ParseAddrPort(host); err == nil {
+		return addrPort.Addr().String()
 	}
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[:i], ":") {
 		host = host[:i]
@@ -79,27 +80,28 @@
 	return strings.ToLower(host)
 }
 
-// RankFor returns the rank of a request: the team's where it has one, else the route's.
-func (r *Route) RankFor(t *Team) int {
-	if t != nil && t.HasRank {
-		return t.Rank
+// PriorityFor returns the priority of a request of team t: the team's if it has one, else the
+// route's. t is nil for requests without a team.
+func (r *Route) PriorityFor(t *Team) int {
+	if t != nil && t.HasPriority {
+		return t.Priority
 	}
-	return r.Rank
+	return r.Priority
 }
 
-// Choose returns the service for a point between 0 and 1, by the targets' weights. It returns the
-// empty string when no target has a weight.
-func (r *Route) Choose(point float64) string {
+// ChooseService returns the service at a fraction between 0 and 1 of the targets' total weight. It
+// returns the empty string when no target has a weight.
+func (r *Route) ChooseService(fraction float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at := int(point * float64(total))
+	offset := int(fraction * float64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if offset < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		offset -= t.Weight
 	}
 	return ""
 }
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func table() *Table {
+func newTable() *Table {
 	one := func(s string) []Target { return []Target{{s, 1}} }
 	return NewTable(&Configuration{
 		Version: 7,
@@ -14,10 +14,10 @@
 			{Name: "root", Host: "a.example", Prefix: "/", Targets: one("s")},
 			{Name: "short", Host: "a.example", Prefix: "/x/", Targets: one("s")},
 			{Name: "long", Host: "A.example", Prefix: "/x/y/", Targets: one("s")},
-			{Name: "other", Host: "b.example", Prefix: "/z/", Targets: one("s"), Rank: 4},
+			{Name: "other", Host: "b.example", Prefix: "/z/", Targets: one("s"), Priority: 4},
 		},
 		Services: []Service{{Name: "s"}},
-		Teams:    []Team{{Name: "desk", Keys: []string{"k1", "k2"}, Rank: 1, HasRank: true}, {Name: "plain", Keys: []string{"k3"}}},
+		Teams:    []Team{{Name: "desk", Keys: []string{"k1", "k2"}, Priority: 1, HasPriority: true}, {Name: "plain", Keys: []string{"k3"}}},
 	})
 }
 
@@ -33,7 +33,7 @@
 		{"c.example", "/x/", ""},
 		{"", "/x/", ""},
 	} {
-		r, ok := table().Match(c.host, c.path)
+		r, ok := newTable().Match(c.host, c.path)
 		assert.Equal(t, ok, c.want != "", "%s %s", c.host, c.path)
 		if ok {
 			assert.Equal(t, r.Name, c.want, "%s %s", c.host, c.path)
@@ -41,26 +41,27 @@
 	}
 }
 
-func TestTeamsAndRanks(t *testing.T) {
-	tab := table()
-	assert.Assert(t, tab.NeedsKey())
+// A team's priority takes precedence over the route's, if the team has one.
+func TestTeamsAndPriorities(t *testing.T) {
+	tab := newTable()
+	assert.Assert(t, tab.RequiresKey())
 	desk, ok := tab.Team("k2")
 	assert.Assert(t, ok)
 	plain, _ := tab.Team("k3")
 	_, ok = tab.Team("k4")
 	assert.Assert(t, !ok)
 	r, _ := tab.Match("b.example", "/z/")
-	assert.Equal(t, r.RankFor(desk), 1)
-	assert.Equal(t, r.RankFor(plain), 4)
-	assert.Equal(t, r.RankFor(nil), 4)
+	assert.Equal(t, r.PriorityFor(desk), 1)
+	assert.Equal(t, r.PriorityFor(plain), 4)
+	assert.Equal(t, r.PriorityFor(nil), 4)
 }
 
-func TestChooseFollowsWeights(t *testing.T) {
+func TestChooseServiceFollowsWeights(t *testing.T) {
 	r := &Route{Targets: []Target{{"none", 0}, {"most", 90}, {"few", 10}}}
 	hits := map[string]int{}
 	for i := range 1000 {
-		hits[r.Choose(float64(i)/1000)]++
+		hits[r.ChooseService(float64(i)/1000)]++
 	}
 	assert.DeepEqual(t, hits, map[string]int{"most": 900, "few": 100})
-	assert.Equal(t, (&Route{}).Choose(0.5), "")
+	assert.Equal(t, (&Route{}).ChooseService(0.5), "")
 }
--- a/gateway/forward/accept.go
+++ b/gateway/forward/accept.go
@@ -81,7 +81,7 @@
 		return f.deny(http.StatusNotFound, "no route", age, inputs)
 	}
 	var team *route.Team
-	if !matched.Public && table.NeedsKey() {
+	if !matched.Public && table.RequiresKey() {
 		if team, ok = table.Team(req.Key); !ok {
 			return f.deny(http.StatusUnauthorized, "unknown key", age, inputs)
 		}
@@ -90,9 +90,9 @@
 		}
 	}
 	if req.route == nil || !leadsTo(matched, req.service) {
-		req.service = matched.Choose(point())
+		req.service = matched.ChooseService(point())
 	}
-	req.table, req.route, req.team, req.rank = table, matched, team, matched.RankFor(team)
+	req.table, req.route, req.team, req.rank = table, matched, team, matched.PriorityFor(team)
 	return nil
 }
 
--- a/gateway/forward/await.go
+++ b/gateway/forward/await.go
@@ -53,7 +53,7 @@
 		return nil
 	}
 	latest := req.arrived.Add(awaitUnset)
-	if aim := req.route.Aim; aim > 0 {
+	if aim := req.route.TargetLatency; aim > 0 {
 		latest = req.arrived.Add(aim * awaitParts / awaitOf)
 	}
 	id := f.lines.next.Add(1)
--- a/gateway/forward/copies.go
+++ b/gateway/forward/copies.go
@@ -41,8 +41,8 @@
 
 func (s *session) copySettings() copies.Settings {
 	set := copies.Settings{Retry: copyRetry}
-	if e := s.engine(); e != nil && e.Asked && !s.f.Settings.Without.Copies {
-		set.Renew = e.CopyKept / renewParts
+	if e := s.engine(); e != nil && e.CopiesOnRequest && !s.f.Settings.Without.Copies {
+		set.Renew = e.CopyTTL / renewParts
 	}
 	return set
 }
@@ -52,7 +52,7 @@
 func (s *session) placeCopy(e *routing.Endpoint) string {
 	now := time.Now()
 	engine := s.engine()
-	if engine == nil || !engine.Copies || s.f.Settings.Without.Copies {
+	if engine == nil || !engine.ContinuousCopies || s.f.Settings.Without.Copies {
 		s.copies.Begin(now, copies.Holder{})
 		return ""
 	}
@@ -246,7 +246,7 @@
 	}
 	f, at, placed := s.f, s.copyAt, s.copyPlaced()
 	s.copyAt = ""
-	time.AfterFunc(s.engine().CopyKept, func() {
+	time.AfterFunc(s.engine().CopyTTL, func() {
 		f.Placement.Release(at, placed)
 		f.Others.Freed(at)
 	})
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -213,7 +213,7 @@
 		return
 	}
 	f.budgets.request(req.service)
-	if req.route.Stream && req.route.Repeat == route.Resumable && req.replayable {
+	if req.route.Stream && req.route.RetryPolicy == route.Resumable && req.replayable {
 		f.serveSession(ctx, w, req)
 		return
 	}
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -113,7 +113,7 @@
 // worthAnother tells whether another endpoint may answer better: an idempotent request that its
 // endpoint failed. A 4xx is the endpoint's word on the request itself.
 func (p *plain) worthAnother(a *answer) bool {
-	return a.status >= http.StatusInternalServerError && a.rest == nil && p.req.route.Repeat == route.Idempotent && p.runs < p.req.route.Attempts
+	return a.status >= http.StatusInternalServerError && a.rest == nil && p.req.route.RetryPolicy == route.Idempotent && p.runs < p.req.route.MaxAttempts
 }
 
 // mayGoOn tells whether the request may be sent to another endpoint.
@@ -121,7 +121,7 @@
 	if !p.req.replayable {
 		return false
 	}
-	if how != notRun && (p.req.route.Repeat == route.Once || p.req.route.Stream || p.runs >= p.req.route.Attempts) {
+	if how != notRun && (p.req.route.RetryPolicy == route.AtMostOnce || p.req.route.Stream || p.runs >= p.req.route.MaxAttempts) {
 		return false
 	}
 	// What could not be connected to has not arrived anywhere, so the next send is no repetition.
@@ -172,7 +172,7 @@
 // waitUntil returns until when the request may wait for an endpoint.
 func (p *plain) waitUntil() time.Time {
 	most := waitMost
-	if aim := p.req.route.Aim; aim > 0 {
+	if aim := p.req.route.TargetLatency; aim > 0 {
 		most = min(most, aim/waitParts)
 	}
 	return p.req.arrived.Add(most)
--- a/gateway/forward/progress.go
+++ b/gateway/forward/progress.go
@@ -52,7 +52,7 @@
 func (s *session) expect(now time.Time, a *attempt) {
 	if usual, known := s.f.Placement.Expected(s.req.service, a.reading); known {
 		late := time.Duration(lateBy * float64(usual))
-		s.machine.Expect(a.number, now.Add(min(late, s.req.route.Aim/aimParts)))
+		s.machine.Expect(a.number, now.Add(min(late, s.req.route.TargetLatency/aimParts)))
 	}
 }
 
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -111,7 +111,7 @@
 	c.ProbeTimeout = set.Probe
 	c.AckTimeout = set.Connect + connectMargin
 	c.WaitForEndpoint = waitForEngine
-	c.MaxAttempts = s.req.route.Attempts
+	c.MaxAttempts = s.req.route.MaxAttempts
 	return c
 }
 
@@ -247,10 +247,10 @@
 // readWithin returns the time in which an engine has to read the prompt for the first event to be on time, and a little to spare; 0
 // where the route has no aim, or it is missed in any case.
 func (req *request) readWithin(now time.Time) time.Duration {
-	if req.route.Aim <= 0 || req.LastEvent != "" {
+	if req.route.TargetLatency <= 0 || req.LastEvent != "" {
 		return 0
 	}
-	left := req.route.Aim - now.Sub(req.arrived)
+	left := req.route.TargetLatency - now.Sub(req.arrived)
 	return max(left*readParts/readOf, 0)
 }
 
--- a/gateway/forward/session_test.go
+++ b/gateway/forward/session_test.go
@@ -29,7 +29,7 @@
 	f := New(Options{Placement: placement.New(routing.DefaultSettings(), 1), Log: quietLog{}, Scope: tally.NoopScope, Tracer: noop.NewTracerProvider().Tracer(""), Clock: func() time.Duration { return 0 }})
 	now := time.Now()
 	w := httptest.NewRecorder()
-	s := &session{f: f, w: w, req: &request{route: &route.Route{Attempts: 5}}, copies: copies.New(copies.Settings{}), attempts: map[int]*attempt{}}
+	s := &session{f: f, w: w, req: &request{route: &route.Route{MaxAttempts: 5}}, copies: copies.New(copies.Settings{}), attempts: map[int]*attempt{}}
 	s.machine = generation.New(s.config(), generation.Origin{}, true, 0, now, now.Add(time.Minute))
 	attemptAt := func(n int, endpoint string) {
 		s.attempts[n] = &attempt{session: s, number: n, endpoint: routing.Endpoint{ID: endpoint}, cancel: func() {}}
@@ -65,7 +65,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := New(Options{Placement: placement.New(routing.DefaultSettings(), 1), Log: quietLog{}, Scope: tally.NoopScope, Clock: func() time.Duration { return 0 }})
 			now := time.Now()
-			s := &session{f: f, req: &request{route: &route.Route{Attempts: 5}}, copies: copies.New(copies.Settings{}), attempts: map[int]*attempt{}, relayed: 3}
+			s := &session{f: f, req: &request{route: &route.Route{MaxAttempts: 5}}, copies: copies.New(copies.Settings{}), attempts: map[int]*attempt{}, relayed: 3}
 			s.machine = generation.New(s.config(), generation.Origin{}, true, 0, now, now.Add(time.Minute))
 			s.attempts[1] = &attempt{session: s, number: 1, endpoint: routing.Endpoint{ID: "e2"}, from: tt.from, cancel: func() {}}
 			s.copies.Begin(now, chosen)
--- a/gateway/forward/target.go
+++ b/gateway/forward/target.go
@@ -13,9 +13,9 @@
 // its bound.
 func (f *Forwarder) target(req *request, e *routing.Endpoint) upstream.Target {
 	t := upstream.Target{ID: e.ID, Address: e.Address}
-	if s := req.table.Service(e.Service); s != nil && s.Connections > 0 {
+	if s := req.table.Service(e.Service); s != nil && s.MaxConnections > 0 {
 		_, known := f.Others.Instances()
-		t.Connections = limits.Connections(s.Connections, known)
+		t.Connections = limits.Connections(s.MaxConnections, known)
 	}
 	return t
 }
--- a/gateway/front/configuration_test.go
+++ b/gateway/front/configuration_test.go
@@ -99,7 +99,7 @@
 				c := w.config
 				c.Version = 9
 				c.Teams = []route.Team{{Name: "desk", Keys: []string{"new-key"}}}
-				c.Routes = append([]route.Route{{Name: "new", Host: host, Prefix: "/new/", Targets: c.Routes[3].Targets, Repeat: route.Idempotent, Attempts: 2}}, c.Routes[1:]...)
+				c.Routes = append([]route.Route{{Name: "new", Host: host, Prefix: "/new/", Targets: c.Routes[3].Targets, RetryPolicy: route.Idempotent, MaxAttempts: 2}}, c.Routes[1:]...)
 				w.store.PutConfiguration(&c)
 				time.Sleep(1500 * time.Millisecond)
 				old := w.config
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -298,7 +298,7 @@
 			break
 		}
 		if s := table.Service(all[i].Service); s != nil && s.Engine != nil {
-			all[i].Memory = s.Engine.Memory
+			all[i].Memory = s.Engine.KVCapacityTokens
 		}
 	}
 	if f.rollouts != nil {
@@ -320,7 +320,7 @@
 	if table == nil || f.draining.Load() {
 		return false
 	}
-	return !table.NeedsKey() || age < f.keyBound()
+	return !table.RequiresKey() || age < f.keyBound()
 }
 
 // sweepEvery is how often idle connections are looked through.
--- a/gateway/front/world_test.go
+++ b/gateway/front/world_test.go
@@ -132,19 +132,19 @@
 }
 
 func configuration() route.Configuration {
-	engine := &route.Engine{Slots: slots, Memory: 88000, Copies: true, Asked: true, CopyKept: 4 * time.Second}
+	engine := &route.Engine{Slots: slots, KVCapacityTokens: 88000, ContinuousCopies: true, CopiesOnRequest: true, CopyTTL: 4 * time.Second}
 	to := func(s string) []route.Target { return []route.Target{{Service: s, Weight: 1}} }
 	return route.Configuration{
 		Version: 3,
 		Routes: []route.Route{
-			{Name: "brief", Host: host, Prefix: "/brief/", Targets: to("engines"), Stream: true, Repeat: route.Resumable,
-				Timeout: 25 * time.Second, Aim: 4500 * time.Millisecond, Pause: 700 * time.Millisecond, Attempts: 5},
-			{Name: "note", Host: host, Prefix: "/note/", Targets: to("engines"), Stream: true, Timeout: 25 * time.Second, Aim: 4500 * time.Millisecond, Attempts: 3},
-			{Name: "log", Host: host, Prefix: "/log/", Targets: to("plain"), Repeat: route.Once, Timeout: 1500 * time.Millisecond, Aim: 300 * time.Millisecond, Attempts: 3},
-			{Name: "ping", Host: host, Prefix: "/ping/", Targets: to("plain"), Repeat: route.Idempotent, Timeout: 1500 * time.Millisecond, Aim: 300 * time.Millisecond, Attempts: 2},
-			{Name: "open", Host: host, Prefix: "/open/", Targets: to("plain"), Repeat: route.Idempotent, Timeout: 1500 * time.Millisecond, Attempts: 2, Public: true},
+			{Name: "brief", Host: host, Prefix: "/brief/", Targets: to("engines"), Stream: true, RetryPolicy: route.Resumable,
+				Timeout: 25 * time.Second, TargetLatency: 4500 * time.Millisecond, TargetGap: 700 * time.Millisecond, MaxAttempts: 5},
+			{Name: "note", Host: host, Prefix: "/note/", Targets: to("engines"), Stream: true, Timeout: 25 * time.Second, TargetLatency: 4500 * time.Millisecond, MaxAttempts: 3},
+			{Name: "log", Host: host, Prefix: "/log/", Targets: to("plain"), RetryPolicy: route.AtMostOnce, Timeout: 1500 * time.Millisecond, TargetLatency: 300 * time.Millisecond, MaxAttempts: 3},
+			{Name: "ping", Host: host, Prefix: "/ping/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: 1500 * time.Millisecond, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2},
+			{Name: "open", Host: host, Prefix: "/open/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: 1500 * time.Millisecond, MaxAttempts: 2, Public: true},
 		},
-		Services: []route.Service{{Name: "engines", Connections: 200, Engine: engine}, {Name: "plain", Connections: 100}},
+		Services: []route.Service{{Name: "engines", MaxConnections: 200, Engine: engine}, {Name: "plain", MaxConnections: 100}},
 		Teams: []route.Team{
 			{Name: "desk", Keys: []string{key, "another-key"}}, {Name: "field", Keys: []string{keyOfField}},
 		},
