--- a/core/internal/seeded/seeded.go
+++ b/core/internal/seeded/seeded.go
@@ -1,28 +1,30 @@
-// Package seeded runs tests that explore with rapid from a fixed seed, so that every run
-// tries the same orderings. Another seed can be given with -rapid.seed.
+// Package seeded runs the tests of a package that use rapid from a fixed seed, so that every run
+// tries the same cases. Another seed can be given with -rapid.seed.
 package seeded
 
 import (
 	"flag"
 	"testing"
 
-	_ "pgregory.net/rapid" // for its flags
+	_ "pgregory.net/rapid" // registers the flags that Main sets
 )
 
-// More orderings than rapid's default of 100, which left faults put in on purpose unfound.
+// The number of checks is above rapid's default of 100, which did not find faults that were
+// inserted on purpose.
 const (
-	seed   = "20261202"
-	checks = "2000"
+	rapidSeed   = "20261202"
+	rapidChecks = "2000"
 )
 
-// Main runs the tests and returns their exit code.
+// Main sets the flags of rapid, runs the tests and returns their exit code. It keeps a seed and a
+// number of checks that differ from rapid's defaults.
 func Main(m *testing.M) int {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		_ = flag.Set("rapid.seed", seed)
+		_ = flag.Set("rapid.seed", rapidSeed)
 	}
 	if flag.Lookup("rapid.checks").Value.String() == "100" {
-		_ = flag.Set("rapid.checks", checks)
+		_ = flag.Set("rapid.checks", rapidChecks)
 	}
 	_ = flag.Set("rapid.nofailfile", "true")
 	return m.Run()
