--- a/core/listing/list.go
+++ b/core/listing/list.go
@@ -62,7 +62,7 @@
 
 // Put takes an entry.
 func (l *List) Put(e routing.Endpoint) {
-	name := e.CalledBy()
+	name := e.RequestName()
 	old, known := l.entries[name]
 	if !known || old.ID != e.ID {
 		l.puts++
@@ -107,7 +107,7 @@
 func (l *List) Replace(now time.Duration, all []routing.Endpoint) {
 	listed := make(map[string]bool, len(all))
 	for _, e := range all {
-		listed[e.CalledBy()] = true
+		listed[e.RequestName()] = true
 		l.Put(e)
 	}
 	for name := range l.entries {
@@ -168,8 +168,8 @@
 
 // after tells whether an entry's endpoint started after another's.
 func (e *entry) after(o *entry) bool {
-	if e.Born != o.Born && e.Born != 0 && o.Born != 0 {
-		return e.Born > o.Born
+	if e.StartedUnixMS != o.StartedUnixMS && e.StartedUnixMS != 0 && o.StartedUnixMS != 0 {
+		return e.StartedUnixMS > o.StartedUnixMS
 	}
 	return e.order > o.order
 }
--- a/core/listing/list_test.go
+++ b/core/listing/list_test.go
@@ -81,9 +81,9 @@
 // TestOneThatStartsAgainReplacesTheOneBefore: under the name that it had, with a new start.
 func TestOneThatStartsAgainReplacesTheOneBefore(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Put(routing.Endpoint{ID: "a@1", Name: "a", Address: "10.0.0.1:80", Born: 1})
-	l.Put(routing.Endpoint{ID: "b@1", Name: "b", Address: "10.0.0.2:80", Born: 1})
-	l.Put(routing.Endpoint{ID: "a@2", Name: "a", Address: "10.0.0.1:80", Born: 2})
+	l.Put(routing.Endpoint{ID: "a@1", Name: "a", Address: "10.0.0.1:80", StartedUnixMS: 1})
+	l.Put(routing.Endpoint{ID: "b@1", Name: "b", Address: "10.0.0.2:80", StartedUnixMS: 1})
+	l.Put(routing.Endpoint{ID: "a@2", Name: "a", Address: "10.0.0.1:80", StartedUnixMS: 2})
 	assert.DeepEqual(t, ids(l), []string{"a@2", "b@1"})
 	l.Remove(second, "a")
 	assert.DeepEqual(t, ids(l), []string{"b@1"})
@@ -92,8 +92,8 @@
 // TestTheOneThatStartedLastHasTheAddress: in whichever order the entries come.
 func TestTheOneThatStartedLastHasTheAddress(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Put(routing.Endpoint{ID: "new@9", Name: "new", Address: "10.0.0.1:80", Born: 9})
-	l.Put(routing.Endpoint{ID: "old@4", Name: "old", Address: "10.0.0.1:80", Born: 4})
+	l.Put(routing.Endpoint{ID: "new@9", Name: "new", Address: "10.0.0.1:80", StartedUnixMS: 9})
+	l.Put(routing.Endpoint{ID: "old@4", Name: "old", Address: "10.0.0.1:80", StartedUnixMS: 4})
 	assert.DeepEqual(t, ids(l), []string{"new@9"})
 }
 
--- a/core/routing/likely_test.go
+++ b/core/routing/byprompt_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleetOf returns a view of engines that were listed in some order.
-func fleetOf(n int, order *rand.Rand) *View {
+// newShuffledView returns a view of n engines that were listed in random order.
+func newShuffledView(n int, order *rand.Rand) *View {
 	s := DefaultSettings()
 	s.ByPrompt, s.Choices = true, 6
 	v := NewView(s)
@@ -21,40 +21,41 @@
 }
 
 func promptRequest(prompt uint64) *Request {
-	return &Request{Service: "s", DataCentre: "dc0", Prefixes: []uint64{prompt}, Tokens: 9000, Prompt: 8000, Weights: Weights{Unread: 1, Running: 0.5, Memory: 0.3}}
+	return &Request{Service: "s", DataCentre: "dc0", Prefixes: []uint64{prompt}, Tokens: 9000, PromptTokens: 8000, Weights: Weights{PendingPrefill: 1, Running: 0.5, Memory: 0.3}}
 }
 
-// TestWhoeverLooksKnowsWhere: the pattern is the return of a fleet in which nobody remembers where prompts were read. An
-// instance that chose among 180 engines, each with some load, placed each prompt at one of the eight that any other
-// instance asks first.
-func TestWhoeverLooksKnowsWhere(t *testing.T) {
+// TestLikelyEndpointsIncludePlacement guards against prompts that cannot be found after the restart
+// of a fleet, when no instance remembers where prompts were prefilled. An instance that chooses
+// among 180 engines with some load must place each prompt at one of the eight engines that any
+// other instance asks first.
+func TestLikelyEndpointsIncludePlacement(t *testing.T) {
 	const engines, prompts, asked = 180, 500, 8
 	rnd, now := rand.New(rand.NewPCG(1, 1)), time.Unix(0, 0)
-	places, looks := fleetOf(engines, rnd), fleetOf(engines, rnd)
+	placing, searching := newShuffledView(engines, rnd), newShuffledView(engines, rnd)
 	for range prompts {
 		r := promptRequest(rnd.Uint64() | 1)
-		d, err := places.Pick(now, r, rnd)
+		d, err := placing.Pick(now, r, rnd)
 		assert.NilError(t, err)
-		places.Sent(now, d.Endpoint.ID)
-		places.Place(d.Endpoint.ID, Placed{Tokens: 500, Unread: rnd.IntN(2) * 8000})
+		placing.Sent(now, d.Endpoint.ID)
+		placing.Place(d.Endpoint.ID, Placed{Tokens: 500, PendingPrefill: rnd.IntN(2) * 8000})
 		found := false
-		for _, e := range looks.Likely(now, r, asked) {
+		for _, e := range searching.LikelyEndpoints(now, r, asked) {
 			found = found || e.ID == d.Endpoint.ID
 		}
 		assert.Assert(t, found, "%s is not asked for %x", d.Endpoint.ID, r.Prefixes[0])
 	}
 }
 
-// TestChoosingByPromptSpreads: choosing by prompts fills engines as evenly as choosing at random does: of 24 engines the fullest
-// gets at most a tenth more than the mean.
-func TestChoosingByPromptSpreads(t *testing.T) {
+// TestPickByPromptSpreadsLoad checks that picking by prompt fills engines about as evenly as random
+// picks: of 24 engines the fullest gets at most a tenth more than the mean.
+func TestPickByPromptSpreadsLoad(t *testing.T) {
 	const engines, prompts = 24, 1200
 	rnd, now := rand.New(rand.NewPCG(2, 2)), time.Unix(0, 0)
-	v := fleetOf(engines, rnd)
+	v := newShuffledView(engines, rnd)
 	count := map[string]int{}
 	for range prompts {
-		d, err := v.Pick(now, &Request{Service: "s", Prefixes: []uint64{rnd.Uint64() | 1}, Prompt: 8000, Weights: Weights{Running: 0.5}, Recovery: true}, rnd)
-		if err != nil { // all are full: they end
+		d, err := v.Pick(now, &Request{Service: "s", Prefixes: []uint64{rnd.Uint64() | 1}, PromptTokens: 8000, Weights: Weights{Running: 0.5}, Recovery: true}, rnd)
+		if err != nil { // all are full: end all requests
 			for id := range count {
 				for v.nodes[id].open > 0 {
 					v.Finished(now, id)
@@ -73,20 +74,21 @@
 	assert.Assert(t, most <= prompts/engines*11/10, "%d", most)
 }
 
-// TestOneThatComesMovesFewPrompts: an engine that joins takes its part of the prompts, and changes nothing for the others.
-func TestOneThatComesMovesFewPrompts(t *testing.T) {
+// TestNewEngineTakesOverFewPrompts checks that a new engine takes its share of the prompts and that
+// all other prompts keep their engine.
+func TestNewEngineTakesOverFewPrompts(t *testing.T) {
 	const engines, prompts = 24, 1000
 	rnd, now := rand.New(rand.NewPCG(3, 3)), time.Unix(0, 0)
-	v := fleetOf(engines, rnd)
+	v := newShuffledView(engines, rnd)
 	first := map[uint64]string{}
 	for range prompts {
 		p := rnd.Uint64() | 1
-		first[p] = v.Likely(now, promptRequest(p), 1)[0].ID
+		first[p] = v.LikelyEndpoints(now, promptRequest(p), 1)[0].ID
 	}
 	v.Upsert(Endpoint{ID: "new", Service: "s", DataCentre: "dc0", Slots: 16, Memory: 88000})
 	moved := 0
 	for p, id := range first {
-		if now := v.Likely(now, promptRequest(p), 1)[0].ID; now != id {
+		if now := v.LikelyEndpoints(now, promptRequest(p), 1)[0].ID; now != id {
 			assert.Equal(t, now, "new")
 			moved++
 		}
@@ -94,10 +96,10 @@
 	assert.Assert(t, moved > prompts/engines/2 && moved < prompts/engines*2, "%d", moved)
 }
 
-// BenchmarkPickByPrompt: a choice among 180 engines.
+// BenchmarkPickByPrompt measures a pick among 180 engines.
 func BenchmarkPickByPrompt(b *testing.B) {
 	rnd, now := rand.New(rand.NewPCG(4, 4)), time.Unix(0, 0)
-	v := fleetOf(180, rnd)
+	v := newShuffledView(180, rnd)
 	r := promptRequest(0)
 	for b.Loop() {
 		r.Prefixes[0]++
--- a/core/routing/endpoint.go
+++ b/core/routing/endpoint.go
@@ -6,7 +6,7 @@
 	"github.com/agateway/agateway/core/health"
 )
 
-// State is an endpoint's state as far as this instance knows.
+// State is the state of an endpoint, as far as this instance knows.
 type State int
 
 // States of an endpoint.
@@ -24,34 +24,35 @@
 
 // Endpoint describes one back end.
 type Endpoint struct {
-	// ID names one incarnation: one that starts again, even under the name that it had, is another endpoint, of which
-	// nothing is believed that was true of the one before.
+	// ID identifies one incarnation. After a restart, even under the same name, the endpoint has a
+	// new ID, and nothing that was known of the former one applies to it.
 	ID string
-	// Name is what the endpoint calls itself; empty where that is its ID.
+	// Name is the endpoint's own name; empty if it is the same as ID.
 	Name                string
 	Address, DataCentre string
-	// Born is when it started, in milliseconds of the Unix clock; 0 where that is not known.
-	Born int64
-	// Build is the version of its software; empty where it does not say. Cold is for how much longer it was slow after its start when
-	// the list had it.
-	Build string
-	Cold  time.Duration
+	// StartedUnixMS is when the endpoint started, in milliseconds of Unix time; 0 if unknown.
+	StartedUnixMS int64
+	// Build is the version of the endpoint's software; empty if it reports none. ColdFor is how
+	// much longer the endpoint was slow after its start, at the time when it was listed.
+	Build   string
+	ColdFor time.Duration
 	// Service groups endpoints that serve the same deployments.
 	Service string
 	Slots   int
 	State   State
 	Models  []Model
-	// Role is the engine's own word.
+	// Role is the role that the engine reports of itself.
 	Role string
-	// Memory is what running requests and copies share at an engine, in tokens; 0 where only
-	// slots count.
+	// Memory is the capacity that running requests and copies share at an engine, in tokens; 0
+	// where only slots count.
 	Memory int
-	// ChecksFencing tells that the endpoint refuses orders with an old fencing number.
+	// ChecksFencing reports whether the endpoint refuses orders with an old fencing number.
 	ChecksFencing bool
 }
 
-// CalledBy returns the name by which requests call the endpoint.
-func (e *Endpoint) CalledBy() string {
+// RequestName returns the name that requests to the endpoint carry: its Name, or its ID if it has
+// none.
+func (e *Endpoint) RequestName() string {
 	if e.Name == "" {
 		return e.ID
 	}
@@ -83,64 +84,68 @@
 	return false
 }
 
-// Load is an endpoint's own report.
+// Load is an endpoint's own load report, in requests.
 type Load struct {
 	Running, Queued int
 	// Age is how old the report was when it was received.
 	Age time.Duration
 }
 
-// node is an endpoint with what this instance knows of its load and health.
+// node is an endpoint with this instance's knowledge of its load and health.
 type node struct {
-	hash uint64 // of its id
+	hash uint64 // of the ID, for rendezvous hashing
 	Endpoint
-	load     Load
-	loadAt   time.Time // when the load was as reported
-	open     int       // requests of this instance in progress
-	recent   []change  // requests sent (+1) and finished (-1) since loadAt
-	trust    health.Trust
-	before   int             // requests in progress that were there when it failed last
-	outcomes health.Outcomes // of requests of this instance
-	pace     health.Pace     // as this instance observed it
-	lost     bool            // its last answer did not arrive
-	failedAt time.Time       // when it last failed this instance, or was heard to have failed another one
-	fullTill time.Time       // it refused a request a short while ago
-	leaving  bool            // the endpoint's own word
-	ended    bool            // its address answers for another incarnation
-	home     bool            // this instance's own part of the endpoints
-	own      Placed          // what this instance has placed there
-	others   Placed          // what other instances told that they have placed there
-	claims   []claimed       // what others are about to place there
-	doubters int             // other instances that it failed a short while ago
-	// othersOutcomes is what other instances told that they have seen, othersPace the slowest pace of those told.
-	othersOutcomes health.Counts
-	othersPace     float64
-	// owned tells that this instance hears all that others place there; otherwise told is the last summary of it.
-	owned bool
-	told  told
+	load           Load
+	loadAt         time.Time    // when the endpoint took the load report
+	open           int          // requests of this instance in progress
+	recent         []openChange // requests sent (+1) and finished (-1) since loadAt
+	trust          health.Trust
+	openAtFailure  int             // requests in progress since before the last failure
+	outcomes       health.Outcomes // of requests of this instance
+	pace           health.Pace     // as observed by this instance
+	lastAnswerLost bool            // the last answer did not arrive
+	failedAt       time.Time       // when it last failed this instance, or a peer first reported a failure
+	fullUntil      time.Time       // end of the backoff after a refusal
+	reportsLeaving bool            // the endpoint itself reports that it is leaving
+	ended          bool            // its address answers for another incarnation, or a peer reported so
+	inSubset       bool            // it is in this instance's own subset
+	own            Placed          // placed by this instance, except for the number of requests (open)
+	peerPlaced     Placed          // sum of what other instances reported as placed
+	claims         []grantedClaim  // granted to other instances that are about to place
+	suspectedBy    int             // number of other instances that reported it as suspect
+	// peerOutcomes is the sum of the outcomes that other instances reported, peerPace the slowest
+	// pace that one of them reported.
+	peerOutcomes health.Counts
+	peerPace     float64
+	// owned reports whether this instance receives all that other instances place there. If not,
+	// ownerSummary is the last summary that an owner sent.
+	owned        bool
+	ownerSummary receivedSummary
 }
 
-type change struct {
+// openChange is a change of the number of this instance's requests in progress.
+type openChange struct {
 	at    time.Time
 	delta int
 }
 
-const maxRecent = 256
+// maxRecentChanges bounds node.recent; older changes are added to the reported load.
+const maxRecentChanges = 256
 
-func (n *node) note(now time.Time, delta int) {
+func (n *node) recordChange(now time.Time, delta int) {
 	n.open += delta
-	if len(n.recent) == maxRecent {
+	if len(n.recent) == maxRecentChanges {
 		n.load.Running += n.recent[0].delta
 		copy(n.recent, n.recent[1:])
-		n.recent = n.recent[:maxRecent-1]
+		n.recent = n.recent[:maxRecentChanges-1]
 	}
-	n.recent = append(n.recent, change{now, delta})
+	n.recent = append(n.recent, openChange{now, delta})
 }
 
 func (n *node) report(now time.Time, l Load) {
 	at := now.Add(-l.Age)
 	if at.Before(n.loadAt) {
-		return // overtaken by a newer report
+		return // a newer report has already arrived
 	}
 	n.load, n.loadAt = l, at
 	kept := n.recent[:0]
@@ -152,9 +157,9 @@
 	n.recent = kept
 }
 
-// estimate returns the requests believed to be at the endpoint: the last report, while it is not too old, corrected
-// by what this instance did since it was taken, and never less than what this instance has there and others told
-// that they have.
+// estimate returns the number of requests believed to be at the endpoint. It is the last load
+// report, if that is younger than ttl, corrected by what this instance sent and finished since. It
+// is never less than what this instance has there plus what others reported.
 func (n *node) estimate(now time.Time, ttl time.Duration) int {
 	known := n.open + n.othersPlaced(now).Open
 	if now.Sub(n.loadAt) >= ttl {
--- a/core/routing/owners_test.go
+++ b/core/routing/owners_test.go
@@ -13,27 +13,29 @@
 	"github.com/agateway/agateway/core/rendezvous"
 )
 
-// The load of a large fleet: 300 instances before 256 engines, 77 streams a second with prompts of 8,000 tokens, which an
-// engine reads in a second. A third of the engines read at any time, so a choice that knows all nearly always finds one
-// that reads nothing, and one that knows little does not.
+// The load of a large fleet: 300 instances in front of 256 engines, and 77 streams a second with
+// prompts of 8,000 tokens, which an engine prefills in a second. At any time a third of the engines
+// are prefilling. A pick with full knowledge nearly always finds one that is not; a pick with
+// little knowledge does not.
 const (
 	loadInstances, loadEngines = 300, 256
-	loadStreams                = 77 // a second
-	loadPrompt                 = 8000
-	loadPerMS                  = 8 // tokens read a millisecond
-	loadLasts                  = 5 * time.Second
-	loadFor                    = 8 * time.Second
+	loadStreamsPerSecond       = 77
+	loadPromptTokens           = 8000
+	loadTokensPerMS            = 8 // tokens prefilled a millisecond
+	loadStreamDuration         = 5 * time.Second
+	loadDuration               = 8 * time.Second
 	loadStep                   = time.Millisecond
 )
 
-// readingFleet is instances that place streams at engines which read one prompt after the other.
-type readingFleet struct {
-	now     time.Time
-	rnd     *rand.Rand
-	views   []*View
-	backlog map[string]time.Time // until when an engine reads what it has
-	waits   []time.Duration      // of each stream until its prompt was read
-	due     []event
+// prefillFleet is a set of instances that place streams at engines, each of which prefills one
+// prompt after the other.
+type prefillFleet struct {
+	now          time.Time
+	rnd          *rand.Rand
+	views        []*View
+	backlog      map[string]time.Time // when each engine will have prefilled all of its prompts
+	prefillWaits []time.Duration      // time from the placement of each stream until its prompt was prefilled
+	due          []event
 }
 
 type event struct {
@@ -41,10 +43,10 @@
 	do func()
 }
 
-func newReadingFleet(instances int) *readingFleet {
-	f := &readingFleet{now: time.Unix(0, 0), rnd: rand.New(rand.NewPCG(7, 7)), backlog: map[string]time.Time{}}
+func newPrefillFleet(instances int) *prefillFleet {
+	f := &prefillFleet{now: time.Unix(0, 0), rnd: rand.New(rand.NewPCG(7, 7)), backlog: map[string]time.Time{}}
 	s := DefaultSettings()
-	s.ByPrompt, s.Choices, s.LastResort = true, 6, true
+	s.ByPrompt, s.Choices, s.FallBackToSuspected = true, 6, true
 	for range instances {
 		v := NewView(s)
 		for e := range loadEngines {
@@ -55,15 +57,16 @@
 	return f
 }
 
-func (f *readingFleet) after(d time.Duration, do func()) {
+func (f *prefillFleet) after(d time.Duration, do func()) {
 	e := event{f.now.Add(d), do}
 	at, _ := slices.BinarySearchFunc(f.due, e, func(a, b event) int { return cmp.Or(a.at.Compare(b.at), -1) })
 	f.due = slices.Insert(f.due, at, e)
 }
 
-// run plays the load. know brings an instance's knowledge up to date before a choice, tell tells others of a change.
-func (f *readingFleet) run(know func(i int, r *Request), tell func(i int, engine string)) {
-	end := f.now.Add(loadFor)
+// run simulates the load. update refreshes an instance's knowledge before a pick; report tells
+// other instances of a change.
+func (f *prefillFleet) run(update func(i int, r *Request), report func(i int, engine string)) {
+	end := f.now.Add(loadDuration)
 	arrivals := 0.0
 	for ; f.now.Before(end); f.now = f.now.Add(loadStep) {
 		for len(f.due) > 0 && !f.due[0].at.After(f.now) {
@@ -71,108 +74,109 @@
 			f.due = f.due[1:]
 			do()
 		}
-		for arrivals += loadStreams * loadStep.Seconds() * 2 * f.rnd.Float64(); arrivals >= 1; arrivals-- {
-			f.place(f.rnd.IntN(len(f.views)), know, tell)
+		for arrivals += loadStreamsPerSecond * loadStep.Seconds() * 2 * f.rnd.Float64(); arrivals >= 1; arrivals-- {
+			f.place(f.rnd.IntN(len(f.views)), update, report)
 		}
 	}
 }
 
-func (f *readingFleet) place(i int, know func(i int, r *Request), tell func(i int, engine string)) {
+func (f *prefillFleet) place(i int, update func(i int, r *Request), report func(i int, engine string)) {
 	v := f.views[i]
 	r := &Request{
-		Service: "s", DataCentre: fmt.Sprint("dc", i%5), Prefixes: []uint64{f.rnd.Uint64() | 1}, Tokens: loadPrompt + 1200, Prompt: loadPrompt,
-		Weights: Weights{Remote: 0.02, Unread: 1, Running: 0.5, Memory: 0.3},
+		Service: "s", DataCentre: fmt.Sprint("dc", i%5), Prefixes: []uint64{f.rnd.Uint64() | 1}, Tokens: loadPromptTokens + 1200, PromptTokens: loadPromptTokens,
+		Weights: Weights{Remote: 0.02, PendingPrefill: 1, Running: 0.5, Memory: 0.3},
 	}
-	know(i, r)
+	update(i, r)
 	d, err := v.Pick(f.now, r, f.rnd)
 	if err != nil {
 		return
 	}
-	engine, placed := d.Endpoint.ID, Placed{Tokens: r.Tokens, Unread: r.Prompt}
+	engine, placed := d.Endpoint.ID, Placed{Tokens: r.Tokens, PendingPrefill: r.PromptTokens}
 	v.Sent(f.now, engine)
 	v.Place(engine, placed)
-	tell(i, engine)
+	report(i, engine)
 	begins := f.now
 	if f.backlog[engine].After(begins) {
 		begins = f.backlog[engine]
 	}
-	read := begins.Add(time.Duration(loadPrompt/loadPerMS) * time.Millisecond)
+	read := begins.Add(time.Duration(loadPromptTokens/loadTokensPerMS) * time.Millisecond)
 	f.backlog[engine] = read
-	f.waits = append(f.waits, read.Sub(f.now))
+	f.prefillWaits = append(f.prefillWaits, read.Sub(f.now))
 	f.after(read.Sub(f.now), func() {
-		v.Release(engine, Placed{Unread: r.Prompt})
-		tell(i, engine)
+		v.Release(engine, Placed{PendingPrefill: r.PromptTokens})
+		report(i, engine)
 	})
-	f.after(read.Sub(f.now)+loadLasts, func() {
+	f.after(read.Sub(f.now)+loadStreamDuration, func() {
 		v.Finished(f.now, engine)
 		v.Release(engine, Placed{Tokens: r.Tokens})
-		tell(i, engine)
+		report(i, engine)
 	})
 }
 
-// late returns the share of the streams whose prompt waited for another one for longer than a quarter of its own
-// reading.
-func (f *readingFleet) late() float64 {
+// lateShare returns the share of the streams whose prompt waited for others for longer than a
+// quarter of its own prefill time.
+func (f *prefillFleet) lateShare() float64 {
 	n := 0
-	for _, w := range f.waits {
-		if w > time.Duration(1.25*loadPrompt/loadPerMS)*time.Millisecond {
+	for _, w := range f.prefillWaits {
+		if w > time.Duration(1.25*loadPromptTokens/loadTokensPerMS)*time.Millisecond {
 			n++
 		}
 	}
-	return float64(n) / float64(len(f.waits))
+	return float64(n) / float64(len(f.prefillWaits))
 }
 
-func nothing(int, *Request) {}
-func nobody(int, string)    {}
+func noUpdate(int, *Request) {}
+func noReport(int, string)   {}
 
-// ownerOf returns which of a number of instances hears all that is placed at an engine.
+// ownerOf returns which instance receives all placements at an engine.
 func ownerOf(engine string, instances int) int {
 	return int(rendezvous.Weight(engine, "owner") % uint64(instances))
 }
 
-// TestChoicesKnowTheEngines compares what an instance knows when it chooses: what all others placed, nearly as the owners of
-// the engines tell it, or what a fifth of the others told within the last second.
-func TestChoicesKnowTheEngines(t *testing.T) {
+// TestOwnerSummariesNearlyMatchFullKnowledge compares picks with three kinds of knowledge: all
+// placements; the summaries of the engines' owners, which have to be nearly as good; and reports
+// that reach a fifth of the other instances once a second.
+func TestOwnerSummariesNearlyMatchFullKnowledge(t *testing.T) {
 	const roundTrip = 3 * time.Millisecond
-	all := newReadingFleet(1) // one that knows all
-	all.run(nothing, nobody)
+	full := newPrefillFleet(1) // one instance that knows all placements
+	full.run(noUpdate, noReport)
 
-	owned := newReadingFleet(loadInstances)
+	owned := newPrefillFleet(loadInstances)
 	for i, v := range owned.views {
 		v.SetOwned(func(id string) bool { return ownerOf(id, loadInstances) == i })
 	}
 	owned.run(func(i int, r *Request) {
-		for _, e := range owned.views[i].Likely(owned.now, r, 10) {
+		for _, e := range owned.views[i].LikelyEndpoints(owned.now, r, 10) {
 			if s, ok := owned.views[ownerOf(e.ID, loadInstances)].Summary(owned.now, e.ID, fmt.Sprint(i), r.Prefixes[0]); ok {
-				owned.views[i].Learn(owned.now, &s, r.Prefixes[0])
+				owned.views[i].ApplySummary(owned.now, &s, r.Prefixes[0])
 			}
 		}
 	}, func(i int, engine string) {
 		v, owner := owned.views[i], owned.views[ownerOf(engine, loadInstances)]
-		told := Told{Placed: v.Own()}
+		ownReport := PeerReport{Placed: v.OwnPlacements()}
 		owned.after(roundTrip, func() {
-			owner.SetPeer(owned.now, fmt.Sprint(i), told.Only(func(id string) bool { return ownerOf(id, loadInstances) == ownerOf(engine, loadInstances) }))
+			owner.SetPeerReport(owned.now, fmt.Sprint(i), ownReport.Filter(func(id string) bool { return ownerOf(id, loadInstances) == ownerOf(engine, loadInstances) }))
 		})
 	})
 
-	const toldOf, each = 64, time.Second
-	some := newReadingFleet(loadInstances)
+	const reportedTo, reportInterval = 64, time.Second
+	partial := newPrefillFleet(loadInstances)
 	var announce func(i int)
 	announce = func(i int) {
-		told := Told{Placed: some.views[i].Own()}
-		for _, to := range some.rnd.Perm(loadInstances)[:toldOf] {
+		ownReport := PeerReport{Placed: partial.views[i].OwnPlacements()}
+		for _, to := range partial.rnd.Perm(loadInstances)[:reportedTo] {
 			if to != i {
-				some.views[to].SetPeer(some.now, fmt.Sprint(i), told)
+				partial.views[to].SetPeerReport(partial.now, fmt.Sprint(i), ownReport)
 			}
 		}
-		some.after(each, func() { announce(i) })
+		partial.after(reportInterval, func() { announce(i) })
 	}
 	for i := range loadInstances {
-		some.after(time.Duration(some.rnd.Int64N(int64(each))), func() { announce(i) })
+		partial.after(time.Duration(partial.rnd.Int64N(int64(reportInterval))), func() { announce(i) })
 	}
-	some.run(nothing, nobody)
+	partial.run(noUpdate, noReport)
 
-	t.Logf("prompts that waited for another one: %.3f of one that knows all, %.3f asking owners, %.3f told by a fifth", all.late(), owned.late(), some.late())
-	assert.Assert(t, owned.late() <= all.late()+0.02, "%.3f", owned.late())
-	assert.Assert(t, some.late() > 3*owned.late()+0.05, "the load tells the two apart: %.3f", some.late())
+	t.Logf("share of late prompts: %.3f with full knowledge, %.3f with owner summaries, %.3f with reports to a fifth", full.lateShare(), owned.lateShare(), partial.lateShare())
+	assert.Assert(t, owned.lateShare() <= full.lateShare()+0.02, "%.3f", owned.lateShare())
+	assert.Assert(t, partial.lateShare() > 3*owned.lateShare()+0.05, "the test load does not tell summaries from partial reports: %.3f", partial.lateShare())
 }
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -10,194 +10,208 @@
 
 // Errors of [View.Pick].
 var (
-	// ErrNone: no endpoint of the service serves the model, or all are gone.
-	ErrNone = errors.New("routing: no eligible endpoint")
-	// ErrFull: eligible endpoints exist, and all hold as much as they may.
+	// ErrNoEndpoint is returned if no endpoint of the service is able to take the request: none
+	// serves the model, or all that do are excluded.
+	ErrNoEndpoint = errors.New("routing: no eligible endpoint")
+	// ErrFull is returned if eligible endpoints exist, but none has room.
 	ErrFull = errors.New("routing: all eligible endpoints are full")
 )
 
-// Request describes what a pick is for.
+// Request describes the request that an endpoint is picked for.
 type Request struct {
 	Service, Model, Adapter, Version string
-	// DataCentre is where the instance runs; endpoints elsewhere score worse.
+	// DataCentre is where the instance runs; endpoints in other data centres score worse.
 	DataCentre string
-	// Prefixes are the hashes of the prompt's prefixes, shortest first.
+	// Prefixes are the hashes of the prompt's prefixes, shortest first; the last one stands for the
+	// whole prompt.
 	Prefixes []uint64
-	// Avoid names endpoints that already failed this request.
+	// Avoid lists the IDs of endpoints that already failed this request.
 	Avoid []string
-	// Builds leaves out endpoints of some builds.
-	Builds Builds
-	// Away is a data centre to stay out of; empty for none.
-	Away string
-	// Tokens is the memory that the request needs at an engine, and Prompt the part of it that
-	// has to be read first.
-	Tokens, Prompt int
-	// Within is the time in which the prompt has to be read, with those that are to be read before it; 0 for any.
-	Within time.Duration
-	// Copy asks for room for a copy of a request's memory: it takes no slot.
+	// Builds restricts the choice to endpoints of some builds.
+	Builds BuildFilter
+	// ExcludeDataCentre is a data centre whose endpoints are not eligible; empty for none.
+	ExcludeDataCentre string
+	// Tokens is the memory that the request needs at an engine. PromptTokens is the part of it that
+	// has to be prefilled first.
+	Tokens, PromptTokens int
+	// PrefillWithin is the time within which the prompt has to be prefilled, including those that
+	// are ahead of it; 0 for no limit.
+	PrefillWithin time.Duration
+	// Copy asks for room for a copy of a request's memory, which takes no slot.
 	Copy bool
-	// Short tells that requests wait for room: copies leave more of it.
-	Short bool
-	// Moves tells that the request will go on where its copy is: the copy may take as much room as the request.
-	Moves bool
-	// Recovery marks work that was lost once; it may use the reserve.
+	// RequestsWaiting reports that requests wait for room: copies then leave more of it free.
+	RequestsWaiting bool
+	// WillMoveToCopy reports that the request will continue where its copy is. The copy may then
+	// take as much room as the request.
+	WillMoveToCopy bool
+	// Recovery marks work that was lost once. It may use the reserve up to
+	// [Settings.RecoveryFactor].
 	Recovery bool
-	// Key breaks ties, so that equal requests meet the same endpoint.
+	// Key breaks ties, so that equal requests go to the same endpoint.
 	Key     string
 	Weights Weights
 }
 
-// Builds restricts a choice by the builds of the endpoints. The zero value allows all.
-type Builds struct {
-	// Only is the build to use, Except one not to use; empty for none.
+// BuildFilter restricts a choice by the builds of the endpoints. The zero value allows all.
+type BuildFilter struct {
+	// Only is the build to use, Except a build not to use; empty for none.
 	Only, Except string
-	// Among are the endpoints of Only to use; nil for all.
+	// Among are the IDs of the endpoints of Only to use; nil for all.
 	Among map[string]bool
 }
 
-// Allow tells whether an endpoint may be chosen.
-func (b *Builds) Allow(e *Endpoint) bool {
+// Allows reports whether an endpoint may be picked.
+func (b *BuildFilter) Allows(e *Endpoint) bool {
 	if b.Except != "" && e.Build == b.Except {
 		return false
 	}
 	return b.Only == "" || e.Build == b.Only && (b.Among == nil || b.Among[e.ID])
 }
 
-// Weights say how a deployment ranks endpoints. Scores are in units of full load:
-// 1 is the worth of an idle endpoint against a full one.
+// Weights set how a deployment ranks endpoints. Scores are in units of full load: with a Load
+// weight of 1, an idle and a full endpoint differ by 1. The lowest score wins.
 type Weights struct {
 	// Load is the weight of the estimated load per slot.
 	Load float64
-	// Cache is the weight of the cached share of the prompt.
+	// Cache is the weight of the cached share of the prompt, which lowers the score.
 	Cache float64
-	// Remote is the cost of another data centre.
+	// Remote is the penalty for another data centre.
 	Remote float64
-	// Unread is the weight of the prompts that are still to be read at the endpoint, in
-	// prompts as long as the request's own: each delays the request by its own reading time,
-	// and the reading delays all that run there.
-	Unread float64
-	// Running is the weight of each request that runs at an engine, in prompts as above: reading the new
-	// prompt delays every one of them.
+	// PendingPrefill is the weight of the prompts still to be prefilled at the endpoint, in prompts
+	// as long as the request's own. Each of them delays the request by its own prefill time, and
+	// prefilling delays everything that runs there.
+	PendingPrefill float64
+	// Running is the weight of each request that runs at an engine, in prompts as for
+	// PendingPrefill: prefilling the new prompt delays every one of them.
 	Running float64
 	// Memory is the weight of the share of the engine's memory in use.
 	Memory float64
-	// Health is the cost of an endpoint that fails all of its requests while the others of its service fail none.
+	// Health is the penalty for an endpoint that fails all of its requests while the others of its
+	// service fail none.
 	Health float64
-	// Pace is the cost of reading the own prompt once more, which an engine costs that takes twice as long.
+	// Pace is the penalty for an engine that takes twice as long as usual: the cost of prefilling
+	// the request's own prompt once more.
 	Pace float64
 }
 
-// DefaultWeights returns the weights used where a deployment names none.
+// DefaultWeights returns the weights of deployments that set none.
 func DefaultWeights() Weights { return Weights{Load: 1, Cache: 0.5, Remote: 0.1} }
 
-// Decision is a chosen endpoint and why.
+// Decision is a picked endpoint and the reasons for it.
 type Decision struct {
 	Endpoint Endpoint
 	Score    float64
-	// Cached is the share of the prefixes believed to be in its cache.
+	// Cached is the share of the prefixes that are believed to be in its cache.
 	Cached float64
-	// Candidates is how many endpoints were compared.
+	// Candidates is how many eligible endpoints were compared.
 	Candidates int
 }
 
-// typicalPrompt bounds from below what counts as one prompt in a score, in tokens: short prompts
-// do not make a long one that is being read look like a hundred.
-const typicalPrompt = 1000
+// minPromptTokens is the least number of tokens that counts as one prompt in a score. Otherwise one
+// long pending prompt would count as a hundred prompts for a request with a short one.
+const minPromptTokens = 1000
 
-// attemptsPerChoice bounds the draws for each candidate wanted.
-const attemptsPerChoice = 3
+// drawsPerCandidate bounds the random draws for each candidate wanted.
+const drawsPerCandidate = 3
 
-// Pick chooses an endpoint. It samples; when the sample holds no eligible endpoint
-// it looks at the whole group before it says that there is none.
+// Pick chooses an endpoint. It compares a sample; if that has no eligible endpoint, it scans the
+// whole group. Engines with unknown placements are used only if none is known, and suspected
+// endpoints only as [Settings.FallBackToSuspected] allows. It returns [ErrNoEndpoint] or [ErrFull]
+// if there is none.
 func (v *View) Pick(now time.Time, r *Request, rnd *rand.Rand) (Decision, error) {
 	group := v.groups[groupKey{r.Service, ""}]
 	if len(group) == 0 {
-		return Decision{}, ErrNone
+		return Decision{}, ErrNoEndpoint
 	}
 	p := picker{v: v, now: now, r: r}
 	p.considerCacheHolders()
-	if prompt, ok := r.prompt(); ok && v.set.ByPrompt {
-		p.likely(group, prompt, v.set.Choices)
+	if prompt, ok := r.promptHash(); ok && v.settings.ByPrompt {
+		p.considerByPrompt(group, prompt, v.settings.Choices)
 	} else {
-		p.sample(v.groups[groupKey{r.Service, r.DataCentre}], 1, rnd)
-		p.sample(v.homes[r.Service], v.set.HomeChoices, rnd)
-		p.sample(group, v.set.Choices-1, rnd)
+		p.considerSample(v.groups[groupKey{r.Service, r.DataCentre}], 1, rnd)
+		p.considerSample(v.subsets[r.Service], v.settings.SubsetChoices, rnd)
+		p.considerSample(group, v.settings.Choices-1, rnd)
 	}
 	if p.best == nil {
-		p.all(group, rnd)
+		p.considerAll(group, rnd)
 	}
-	if p.best == nil && p.unknown && !p.known {
-		p.unknownToo = true
-		p.all(group, rnd)
+	if p.best == nil && p.skippedUnknown && !p.sawKnown {
+		p.allowUnknown = true
+		p.considerAll(group, rnd)
 	}
-	if p.best == nil && v.set.LastResort && !p.fullEngine {
-		p.suspectsToo = true
-		p.all(group, rnd)
+	if p.best == nil && v.settings.FallBackToSuspected && !p.sawFullEngine {
+		p.allowSuspected = true
+		p.considerAll(group, rnd)
 	}
 	if p.best == nil {
-		if p.full {
+		if p.sawFull {
 			return Decision{}, ErrFull
 		}
-		return Decision{}, ErrNone
+		return Decision{}, ErrNoEndpoint
 	}
-	return Decision{p.best.Endpoint, p.score, p.cached, p.n}, nil
+	return Decision{p.best.Endpoint, p.bestScore, p.bestCached, p.compared}, nil
 }
 
-// all compares all members of a group, beginning anywhere.
-func (p *picker) all(group []*node, rnd *rand.Rand) {
+// considerAll compares all members of a group, from a random start.
+func (p *picker) considerAll(group []*node, rnd *rand.Rand) {
 	start := rnd.IntN(len(group))
 	for i := range group {
 		p.consider(group[(start+i)%len(group)])
 	}
 }
 
-// sample compares n random members of a group.
-func (p *picker) sample(group []*node, n int, rnd *rand.Rand) {
+// considerSample compares up to n random members of a group.
+func (p *picker) considerSample(group []*node, n int, rnd *rand.Rand) {
 	if len(group) == 0 {
 		return
 	}
-	want := p.n + n
-	for i := 0; p.n < want && i < n*attemptsPerChoice; i++ {
+	want := p.compared + n
+	for i := 0; p.compared < want && i < n*drawsPerCandidate; i++ {
 		p.consider(group[rnd.IntN(len(group))])
 	}
 }
 
-// picker is one pick in progress.
+// picker is the state of one pick in progress.
 type picker struct {
-	v             *View
-	now           time.Time
-	r             *Request
-	best          *node
-	score, cached float64
-	tie           uint64
-	n             int
-	full          bool
-	suspectsToo   bool
-	// fullEngine is set when an engine that takes work has no room: requests wait for it, and suspected engines are not tried.
-	fullEngine bool
-	// unknown is set when an engine was left out since it is not known what others have placed there, known when that is known of
-	// another one. unknownToo takes such engines as well.
-	unknown, known, unknownToo bool
-	// holders is set while the engines that keep the prompt are compared: they are eligible though nothing else is known of them.
-	holders bool
+	v                     *View
+	now                   time.Time
+	r                     *Request
+	best                  *node
+	bestScore, bestCached float64
+	bestTie               uint64
+	compared              int
+	sawFull               bool
+	allowSuspected        bool
+	// sawFullEngine is set when an engine that takes work has no room. Requests then wait for it,
+	// and suspected engines are not tried.
+	sawFullEngine bool
+	// skippedUnknown is set when an engine was skipped because the placements of other instances
+	// there are not known; sawKnown when they are known for another engine. allowUnknown includes
+	// such engines.
+	skippedUnknown, sawKnown, allowUnknown bool
+	// consideringHolders is set while the engines that cache the prompt are compared. They are
+	// eligible even if the placements of other instances there are not known.
+	consideringHolders bool
 }
 
+// considerCacheHolders compares the endpoints that hold the longest prefix in the cache index. It
+// skips widely held prefixes.
 func (p *picker) considerCacheHolders() {
 	if p.r.Weights.Cache == 0 {
 		return
 	}
 	for i := len(p.r.Prefixes) - 1; i >= 0; i-- {
 		e := p.v.cache.entries[p.r.Prefixes[i]]
-		if e == nil || e.common {
+		if e == nil || e.widelyHeld {
 			continue
 		}
-		p.holders = true
+		p.consideringHolders = true
 		for j := range e.holders {
 			if n := p.v.nodes[e.holders[j].endpoint]; n != nil && n.Service == p.r.Service {
 				p.consider(n)
 			}
 		}
-		p.holders = false
+		p.consideringHolders = false
 		return
 	}
 }
@@ -206,76 +220,77 @@
 	if n == p.best || !p.eligible(n) {
 		return
 	}
-	p.n++
-	cached := p.v.cached(p.now, n.ID, p.r.Prefixes)
-	score := p.rank(n, cached)
-	if p.best == nil || score < p.score || score == p.score && p.tieOf(n) > p.tie {
-		p.best, p.score, p.cached, p.tie = n, score, cached, p.tieOf(n)
+	p.compared++
+	cached := p.v.cachedShare(p.now, n.ID, p.r.Prefixes)
+	score := p.scoreOf(n, cached)
+	if p.best == nil || score < p.bestScore || score == p.bestScore && p.tieBreak(n) > p.bestTie {
+		p.best, p.bestScore, p.bestCached, p.bestTie = n, score, cached, p.tieBreak(n)
 	}
 }
 
-func (p *picker) rank(n *node, cached float64) float64 {
+// scoreOf returns the score of an endpoint; lower is better.
+func (p *picker) scoreOf(n *node, cached float64) float64 {
 	w := &p.r.Weights
 	score := w.Load*float64(p.load(n))/float64(n.Slots) - w.Cache*cached
 	if n.DataCentre != p.r.DataCentre {
 		score += w.Remote
 	}
-	if n.home {
-		score -= p.v.set.HomeWorth
+	if n.inSubset {
+		score -= p.v.settings.SubsetBonus
 	}
-	if n.othersDoubt(p.now) > 0 || p.v.doubted(p.now, n) {
-		score += p.v.set.Doubt
+	if n.suspectedByOthers(p.now) > 0 || p.v.inDegradedDataCentre(p.now, n) {
+		score += p.v.settings.SuspicionPenalty
 	}
 	if w.Health > 0 {
-		score += w.Health * p.v.excess(p.now, n)
+		score += w.Health * p.v.excessFailures(p.now, n)
 	}
 	if n.Memory > 0 {
-		score += p.rankEngine(n)
+		score += p.engineScore(n)
 	}
 	return score
 }
 
-// rankEngine is what prompts to be read, requests that run and memory in use cost. All of it takes longer at a slow
-// engine, and so does the own prompt.
-func (p *picker) rankEngine(n *node) float64 {
+// engineScore is the cost of pending prefills, running requests and memory in use. A slow engine
+// takes longer for all of it, and for the request's own prompt.
+func (p *picker) engineScore(n *node) float64 {
 	w := &p.r.Weights
 	pace := 1.0
 	if w.Pace > 0 {
-		pace = n.paceOf(p.now)
+		pace = n.effectivePace(p.now)
 	}
-	unread := float64(n.unread(p.now)) / float64(max(p.r.Prompt, typicalPrompt))
-	score := w.Unread*unread*pace + w.Pace*(pace-1)
-	if !n.known(p.now) {
-		score += p.v.set.Unknown
+	pendingPrompts := float64(n.pendingPrefill(p.now)) / float64(max(p.r.PromptTokens, minPromptTokens))
+	score := w.PendingPrefill*pendingPrompts*pace + w.Pace*(pace-1)
+	if !n.othersPlacedKnown(p.now) {
+		score += p.v.settings.UnknownLoadPenalty
 	}
 	score += w.Running * float64(p.load(n)) * pace
-	return score + w.Memory*float64(n.used(p.now))/float64(n.Memory)
+	return score + w.Memory*float64(n.usedMemory(p.now))/float64(n.Memory)
 }
 
-// load returns the requests believed to be at an endpoint.
-func (p *picker) load(n *node) int { return n.estimate(p.now, p.v.set.ReportTTL) }
+// load returns the number of requests believed to be at an endpoint.
+func (p *picker) load(n *node) int { return n.estimate(p.now, p.v.settings.ReportTTL) }
 
-func (p *picker) tieOf(n *node) uint64 {
+func (p *picker) tieBreak(n *node) uint64 {
 	return xxhash.Sum64String(p.r.Key) ^ xxhash.Sum64String(n.ID)
 }
 
-// readingTime returns how long an engine is expected to take to read the request's prompt and those that are to be read before it; 0
-// where that is not known.
-func (p *picker) readingTime(n *node) time.Duration {
-	usual, known := p.v.usualOf(n.Service).Expected(n.unread(p.now) + p.r.Prompt)
+// prefillTime returns how long an engine is expected to take for the prompts that are ahead and the
+// request's own; 0 if unknown.
+func (p *picker) prefillTime(n *node) time.Duration {
+	usual, known := p.v.usualPrefillOf(n.Service).Expected(n.pendingPrefill(p.now) + p.r.PromptTokens)
 	if !known {
 		return 0
 	}
-	return time.Duration(n.paceOf(p.now) * float64(usual))
+	return time.Duration(n.effectivePace(p.now) * float64(usual))
 }
 
-// eligible is the filter: state, suspicion, earlier failures, model, room.
+// eligible filters by state, suspicion, earlier failures, model, build, data centre and room.
 func (p *picker) eligible(n *node) bool {
-	takes := n.takesWork(p.now) && !p.v.lost(p.now, n) || p.suspectsToo && n.stays()
-	if !takes || !n.serves(p.r.Model, p.r.Adapter, p.r.Version) || !p.r.Builds.Allow(&n.Endpoint) {
+	takesWork := n.takesWork(p.now) && !p.v.presumedDown(p.now, n) || p.allowSuspected && n.inService()
+	if !takesWork || !n.serves(p.r.Model, p.r.Adapter, p.r.Version) || !p.r.Builds.Allows(&n.Endpoint) {
 		return false
 	}
-	if p.r.Away != "" && n.DataCentre == p.r.Away {
+	if p.r.ExcludeDataCentre != "" && n.DataCentre == p.r.ExcludeDataCentre {
 		return false
 	}
 	for _, a := range p.r.Avoid {
@@ -283,53 +298,56 @@
 			return false
 		}
 	}
-	if p.r.Copy && n.othersDoubt(p.now) > doubtersMost {
-		return false // a copy there would be given up at once
+	if p.r.Copy && n.suspectedByOthers(p.now) > maxSuspectingPeers {
+		return false // the caller would drop a copy there at once
 	}
 	if n.Memory > 0 {
-		if !p.unknownToo && !p.holders && !p.spare() && !n.known(p.now) {
-			p.unknown = true
+		if !p.allowUnknown && !p.consideringHolders && !p.mayUseUnknown() && !n.othersPlacedKnown(p.now) {
+			p.skippedUnknown = true
 			return false
 		}
-		p.known = true
+		p.sawKnown = true
 	}
 	if p.isFull(n) {
-		p.full = true
-		p.fullEngine = p.fullEngine || n.Memory > 0 && !n.tried()
+		p.sawFull = true
+		p.sawFullEngine = p.sawFullEngine || n.Memory > 0 && !n.trialInProgress()
 		return false
 	}
 	return true
 }
 
-// spare tells whether the request is for a copy while nobody waits for room: what is not known then has room, most likely.
-func (p *picker) spare() bool { return p.r.Copy && (!p.r.Short || p.r.Moves) }
+// mayUseUnknown reports whether the request is for a copy and need not leave room for waiting
+// requests. An engine with unknown placements then most likely has room.
+func (p *picker) mayUseUnknown() bool {
+	return p.r.Copy && (!p.r.RequestsWaiting || p.r.WillMoveToCopy)
+}
 
-// isFull tells whether an endpoint has no room for the request: too little memory, too many prompts to be read before its own, or too
-// many requests.
+// isFull reports whether an endpoint has no room for the request: too little memory, too many
+// prompts to prefill before its own, or too many requests.
 func (p *picker) isFull(n *node) bool {
-	memory := p.v.set.MemoryFactor
+	memory := p.v.settings.MemoryFactor
 	switch {
-	case !p.r.Copy || p.r.Moves:
-	case p.r.Short:
-		memory = p.v.set.ShortCopyFactor
+	case !p.r.Copy || p.r.WillMoveToCopy:
+	case p.r.RequestsWaiting:
+		memory = p.v.settings.CopyFactorWhileWaiting
 	default:
-		memory = p.v.set.CopyFactor
+		memory = p.v.settings.CopyFactor
 	}
-	if n.Memory > 0 && float64(n.used(p.now)+p.r.Tokens) > memory*float64(n.Memory) {
+	if n.Memory > 0 && float64(n.usedMemory(p.now)+p.r.Tokens) > memory*float64(n.Memory) {
 		return true
 	}
 	if p.r.Copy {
 		return false
 	}
-	if p.r.Within > 0 && n.Memory > 0 && p.readingTime(n) > p.r.Within {
+	if p.r.PrefillWithin > 0 && n.Memory > 0 && p.prefillTime(n) > p.r.PrefillWithin {
 		return true
 	}
-	if p.now.Before(n.fullTill) || n.tried() && !p.suspectsToo {
+	if p.now.Before(n.fullUntil) || n.trialInProgress() && !p.allowSuspected {
 		return true
 	}
-	factor := p.v.set.QueueFactor
+	factor := p.v.settings.QueueFactor
 	if p.r.Recovery {
-		factor = p.v.set.RecoveryFactor
+		factor = p.v.settings.RecoveryFactor
 	}
 	return float64(p.load(n)) >= factor*float64(n.Slots)
 }
--- a/core/routing/placed.go
+++ b/core/routing/placed.go
@@ -15,37 +15,40 @@
 	Open int
 	// Tokens is the memory that these requests and copies for others will need at their largest.
 	Tokens int
-	// Unread is how many prompt tokens of them are still to be read.
-	Unread int
+	// PendingPrefill is how many of their prompt tokens are still to be prefilled.
+	PendingPrefill int
 }
 
 func (p *Placed) add(o Placed) {
 	p.Open += o.Open
 	p.Tokens += o.Tokens
-	p.Unread += o.Unread
+	p.PendingPrefill += o.PendingPrefill
 }
 
 func (p *Placed) subtract(o Placed) {
 	p.Open = max(p.Open-o.Open, 0)
 	p.Tokens = max(p.Tokens-o.Tokens, 0)
-	p.Unread = max(p.Unread-o.Unread, 0)
+	p.PendingPrefill = max(p.PendingPrefill-o.PendingPrefill, 0)
 }
 
-// used is the memory that is believed to be taken, in tokens.
-func (n *node) used(now time.Time) int { return n.own.Tokens + n.othersPlaced(now).Tokens }
+// usedMemory returns the memory believed to be allocated, in tokens.
+func (n *node) usedMemory(now time.Time) int { return n.own.Tokens + n.othersPlaced(now).Tokens }
 
-// Unread returns how many prompt tokens are believed to be still to be read at an endpoint.
-func (v *View) Unread(now time.Time, id string) int {
+// PendingPrefill returns how many prompt tokens are believed to be still to be prefilled at an
+// endpoint; 0 if it is not listed.
+func (v *View) PendingPrefill(now time.Time, id string) int {
 	if n := v.nodes[id]; n != nil {
-		return n.unread(now)
+		return n.pendingPrefill(now)
 	}
 	return 0
 }
 
-func (n *node) unread(now time.Time) int { return n.own.Unread + n.othersPlaced(now).Unread }
+func (n *node) pendingPrefill(now time.Time) int {
+	return n.own.PendingPrefill + n.othersPlaced(now).PendingPrefill
+}
 
-// At returns what is believed to be placed at an endpoint, by all instances.
-func (v *View) At(now time.Time, id string) Placed {
+// PlacedAt returns what all instances together are believed to have placed at an endpoint.
+func (v *View) PlacedAt(now time.Time, id string) Placed {
 	n := v.nodes[id]
 	if n == nil {
 		return Placed{}
@@ -56,8 +59,8 @@
 	return sum
 }
 
-// Place records what this instance has placed at an endpoint, besides the number of requests
-// ([View.Sent] counts those).
+// Place records what this instance has placed at an endpoint, except for the number of requests,
+// which [View.Sent] counts.
 func (v *View) Place(id string, w Placed) {
 	if n := v.nodes[id]; n != nil {
 		n.own.add(w)
@@ -71,14 +74,15 @@
 	}
 }
 
-// InUse tells whether this instance has placed anything at an endpoint.
+// InUse reports whether this instance has placed anything at an endpoint.
 func (v *View) InUse(id string) bool {
 	n := v.nodes[id]
 	return n != nil && (n.open > 0 || n.own != Placed{})
 }
 
-// Own returns what this instance has placed, by endpoint; endpoints without any are left out.
-func (v *View) Own() map[string]Placed {
+// OwnPlacements returns what this instance has placed, by ID of the endpoint; endpoints without any
+// are left out.
+func (v *View) OwnPlacements() map[string]Placed {
 	out := map[string]Placed{}
 	for id, n := range v.nodes {
 		p := n.own
@@ -90,47 +94,48 @@
 	return out
 }
 
-// Told is what another instance told of endpoints.
-type Told struct {
-	// Placed is what it has placed, by endpoint.
+// PeerReport is what another instance reported about endpoints. They are named by their IDs.
+type PeerReport struct {
+	// Placed is what the instance has placed, by endpoint.
 	Placed map[string]Placed
-	// Suspects are the endpoints that failed it a short while ago.
+	// Suspects are the endpoints that recently failed it.
 	Suspects []string
 	// Ended are the endpoints that it found replaced at their address.
 	Ended []string
-	// Outcomes is how its requests ended lately, of endpoints with bad ones.
+	// Outcomes are the recent outcomes of its requests, for endpoints with failures.
 	Outcomes map[string]health.Counts
 	// Paces is how many times as long as usual slow engines take.
 	Paces map[string]float64
-	// Read are the prompts of its requests in progress that endpoints have read.
-	Read []Read
+	// Prefilled are the prompts of its requests in progress that endpoints have prefilled.
+	Prefilled []PrefilledPrompt
 }
 
-// empty tells that nothing of it has to be remembered.
-func (t *Told) empty() bool {
+// empty reports whether nothing of the report has to be kept. Ended and Prefilled are applied when
+// the report arrives.
+func (t *PeerReport) empty() bool {
 	return len(t.Placed)+len(t.Suspects)+len(t.Outcomes)+len(t.Paces) == 0
 }
 
-// Only returns what was told of some endpoints.
-func (t *Told) Only(keep func(id string) bool) Told {
-	others := func(id string) bool { return !keep(id) }
-	out := Told{
-		Suspects: slices.DeleteFunc(slices.Clone(t.Suspects), others), Ended: slices.DeleteFunc(slices.Clone(t.Ended), others),
+// Filter returns the part of the report that is about some endpoints.
+func (t *PeerReport) Filter(keep func(id string) bool) PeerReport {
+	dropped := func(id string) bool { return !keep(id) }
+	out := PeerReport{
+		Suspects: slices.DeleteFunc(slices.Clone(t.Suspects), dropped), Ended: slices.DeleteFunc(slices.Clone(t.Ended), dropped),
 		Placed: maps.Clone(t.Placed), Outcomes: maps.Clone(t.Outcomes), Paces: maps.Clone(t.Paces),
 	}
-	maps.DeleteFunc(out.Placed, func(id string, _ Placed) bool { return others(id) })
-	maps.DeleteFunc(out.Outcomes, func(id string, _ health.Counts) bool { return others(id) })
-	maps.DeleteFunc(out.Paces, func(id string, _ float64) bool { return others(id) })
-	for _, r := range t.Read {
+	maps.DeleteFunc(out.Placed, func(id string, _ Placed) bool { return dropped(id) })
+	maps.DeleteFunc(out.Outcomes, func(id string, _ health.Counts) bool { return dropped(id) })
+	maps.DeleteFunc(out.Paces, func(id string, _ float64) bool { return dropped(id) })
+	for _, r := range t.Prefilled {
 		if keep(r.Endpoint) {
-			out.Read = append(out.Read, r)
+			out.Prefilled = append(out.Prefilled, r)
 		}
 	}
 	return out
 }
 
-// Endpoints returns the endpoints that something was told of.
-func (t *Told) Endpoints() map[string]bool {
+// Endpoints returns the endpoints that the report is about.
+func (t *PeerReport) Endpoints() map[string]bool {
 	out := map[string]bool{}
 	for _, ids := range []iter.Seq[string]{
 		slices.Values(t.Suspects), slices.Values(t.Ended), maps.Keys(t.Placed), maps.Keys(t.Outcomes), maps.Keys(t.Paces),
@@ -139,20 +144,21 @@
 			out[id] = true
 		}
 	}
-	for _, r := range t.Read {
+	for _, r := range t.Prefilled {
 		out[r.Endpoint] = true
 	}
 	return out
 }
 
-// Combine sums up what several instances found out about endpoints, without what they have placed there. An endpoint
-// that failed several of them is among the suspects twice, which is as often as counts.
-func Combine(all []Told) Told {
-	out := Told{Outcomes: map[string]health.Counts{}, Paces: map[string]float64{}}
-	doubters, ended := map[string]int{}, map[string]bool{}
+// Combine merges what several instances found out about endpoints, without what they have placed
+// there. An endpoint that failed several of them is listed among the suspects twice, since more
+// reports make no difference.
+func Combine(all []PeerReport) PeerReport {
+	out := PeerReport{Outcomes: map[string]health.Counts{}, Paces: map[string]float64{}}
+	suspectedBy, ended := map[string]int{}, map[string]bool{}
 	for i := range all {
 		for _, id := range all[i].Suspects {
-			doubters[id]++
+			suspectedBy[id]++
 		}
 		for _, id := range all[i].Ended {
 			ended[id] = true
@@ -164,8 +170,8 @@
 			out.Paces[id] = max(out.Paces[id], f)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(doubters)) {
-		for range min(doubters[id], doubtersMost+1) {
+	for _, id := range slices.Sorted(maps.Keys(suspectedBy)) {
+		for range min(suspectedBy[id], maxSuspectingPeers+1) {
 			out.Suspects = append(out.Suspects, id)
 		}
 	}
@@ -173,16 +179,16 @@
 	return out
 }
 
-// Read says that an endpoint has read a prompt.
-type Read struct {
+// PrefilledPrompt states that an endpoint has prefilled a prompt, given by its hash.
+type PrefilledPrompt struct {
 	Endpoint string
 	Prompt   uint64
 }
 
-// SetPeer takes what another instance told; it replaces what that instance told before. The zero
-// value forgets the instance.
-func (v *View) SetPeer(now time.Time, peer string, t Told) {
-	for _, r := range t.Read {
+// SetPeerReport records the report of another instance; it replaces the former one. The zero value
+// forgets the instance.
+func (v *View) SetPeerReport(now time.Time, peer string, t PeerReport) {
+	for _, r := range t.Prefilled {
 		if v.nodes[r.Endpoint] != nil {
 			v.CacheStored(now, r.Endpoint, r.Prompt)
 		}
@@ -192,88 +198,89 @@
 			n.ended = true
 		}
 	}
-	v.settle(now, peer)
-	old := v.peers[peer]
-	delete(v.peers, peer)
-	v.unsay(&old)
+	v.pruneClaims(now, peer)
+	old := v.peerReports[peer]
+	delete(v.peerReports, peer)
+	v.subtractReport(&old)
 	if !t.empty() {
-		v.peers[peer] = t
+		v.peerReports[peer] = t
 	}
-	v.say(&t)
-	v.heardFailed(now, &old, &t)
-	v.repace(&old, &t)
+	v.addReport(&t)
+	v.notePeerSuspects(now, &old, &t)
+	v.updatePeerPaces(&old, &t)
 	if len(old.Suspects)+len(t.Suspects) > 0 {
-		v.doubt.stale = true
+		v.degraded.stale = true
 	}
 }
 
-// say counts what an instance told.
-func (v *View) say(t *Told) {
+// addReport adds the report of an instance to the sums that the endpoints keep.
+func (v *View) addReport(t *PeerReport) {
 	for id, p := range t.Placed {
 		if n := v.nodes[id]; n != nil {
-			n.others.add(p)
+			n.peerPlaced.add(p)
 		}
 	}
 	for _, id := range t.Suspects {
 		if n := v.nodes[id]; n != nil {
-			n.doubters++
+			n.suspectedBy++
 		}
 	}
 	for id, c := range t.Outcomes {
 		if n := v.nodes[id]; n != nil {
-			n.othersOutcomes = n.othersOutcomes.Add(c)
+			n.peerOutcomes = n.peerOutcomes.Add(c)
 		}
 	}
 }
 
-// unsay takes back what an instance told before.
-func (v *View) unsay(t *Told) {
+// subtractReport subtracts the former report of an instance from the sums that the endpoints keep.
+func (v *View) subtractReport(t *PeerReport) {
 	for id, p := range t.Placed {
 		if n := v.nodes[id]; n != nil {
-			n.others.subtract(p)
+			n.peerPlaced.subtract(p)
 		}
 	}
 	for _, id := range t.Suspects {
 		if n := v.nodes[id]; n != nil {
-			n.doubters--
+			n.suspectedBy--
 		}
 	}
 	for id, c := range t.Outcomes {
 		if n := v.nodes[id]; n != nil {
-			n.othersOutcomes = n.othersOutcomes.Sub(c)
+			n.peerOutcomes = n.peerOutcomes.Sub(c)
 		}
 	}
 }
 
-// repace finds the slowest pace that others tell, of the endpoints that an instance spoke of before or now.
-func (v *View) repace(before, now *Told) {
+// updatePeerPaces recomputes the slowest reported pace of the endpoints in the former or the new
+// report.
+func (v *View) updatePeerPaces(before, now *PeerReport) {
 	for _, paces := range []map[string]float64{before.Paces, now.Paces} {
 		for id := range paces {
 			if n := v.nodes[id]; n != nil {
-				n.othersPace = v.slowest(id)
+				n.peerPace = v.slowestPeerPace(id)
 			}
 		}
 	}
 }
 
-func (v *View) slowest(id string) float64 {
+func (v *View) slowestPeerPace(id string) float64 {
 	most := 0.0
-	for _, t := range v.peers {
+	for _, t := range v.peerReports {
 		most = max(most, t.Paces[id])
 	}
 	return most
 }
 
-// recall takes what the others told about an endpoint before it was listed.
-func (v *View) recall(n *node, id string) {
-	for _, t := range v.peers {
-		n.others.add(t.Placed[id])
-		n.othersOutcomes = n.othersOutcomes.Add(t.Outcomes[id])
+// applyPeerReports applies to a new endpoint what other instances reported before it was listed.
+func (v *View) applyPeerReports(n *node, id string) {
+	for _, t := range v.peerReports {
+		n.peerPlaced.add(t.Placed[id])
+		n.peerOutcomes = n.peerOutcomes.Add(t.Outcomes[id])
 		for _, s := range t.Suspects {
 			if s == id {
-				n.doubters++
+				n.suspectedBy++
 			}
 		}
 	}
-	n.othersPace = v.slowest(id)
+	n.peerPace = v.slowestPeerPace(id)
 }
--- a/gateway/backends/backends.go
+++ b/gateway/backends/backends.go
@@ -104,12 +104,12 @@
 	b.watchers[l.ID] = b.watch(ctx, l.ID, l.Address)
 }
 
-// SetMembers tells which instances are alive. Each endpoint is the home of the one that
+// SetMembers tells which instances are alive. Each endpoint is in the subset of the one that
 // ranks highest for it by rendezvous hash.
 func (b *Backends) SetMembers(ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.view.SetHomes(func(endpoint string) bool {
+	b.view.SetSubset(func(endpoint string) bool {
 		own := rendezvous.Weight(b.opt.Instance, endpoint)
 		for _, id := range ids {
 			if rendezvous.Weight(id, endpoint) > own {
@@ -194,7 +194,7 @@
 func (b *Backends) Nearby(id string, from, to time.Time) (failed, all int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.view.Nearby(id, from, to)
+	return b.view.FailuresInDataCentre(id, from, to)
 }
 
 // Slots returns the slots of a service's endpoints that take work.
--- a/gateway/backends/watch.go
+++ b/gateway/backends/watch.go
@@ -81,7 +81,7 @@
 	b.view.Report(now, id, routing.Load{Running: st.Running, Queued: st.Queued, Age: time.Duration(st.AgeMS) * time.Millisecond})
 	if w.boot != st.Boot {
 		if w.boot != "" {
-			b.view.CacheLost(id)
+			b.view.CacheCleared(id)
 		}
 		w.boot, w.since = st.Boot, 0
 	}
@@ -98,7 +98,7 @@
 	if e, ok := b.view.Get(id); ok && st.Leaving && e.State != routing.Leaving {
 		b.opt.Log.WithField("endpoint", id).Info("endpoint leaves")
 	}
-	b.view.Describe(id, st.Slots, models, st.Role, st.Leaving)
+	b.view.UpdateStatus(id, st.Slots, models, st.Role, st.Leaving)
 }
 
 // takeCacheEvents applies news of the prefix cache. A gap in the numbers means that some
--- a/gateway/exchange/announce.go
+++ b/gateway/exchange/announce.go
@@ -48,7 +48,7 @@
 type heard struct {
 	process, sequence uint64
 	at                time.Duration
-	told              routing.Told
+	told              routing.PeerReport
 	uses              map[string]limits.Counted
 }
 
@@ -128,7 +128,7 @@
 // announceTo tells owners what this instance has placed at their endpoints and found out about them, and with summers set those
 // that sum up for its data centre what it found out about all. Each is told only what concerns it: an instance of a busy fleet has placed
 // more than fits into a datagram.
-func (x *Exchange) announceTo(r *roster, told *routing.Told, owners []string, summers bool) {
+func (x *Exchange) announceTo(r *roster, told *routing.PeerReport, owners []string, summers bool) {
 	sums := r.summers[x.Self.DataCentre]
 	to := owners
 	if summers {
@@ -149,13 +149,13 @@
 }
 
 // partFor returns what concerns an instance.
-func partFor(id string, told *routing.Told, ownersOf map[string][]string, sumsUp bool) routing.Told {
-	owned := told.Only(func(endpoint string) bool { return slices.Contains(ownersOf[endpoint], id) })
+func partFor(id string, told *routing.PeerReport, ownersOf map[string][]string, sumsUp bool) routing.PeerReport {
+	owned := told.Filter(func(endpoint string) bool { return slices.Contains(ownersOf[endpoint], id) })
 	if !sumsUp {
 		return owned
 	}
 	all := *told
-	all.Placed, all.Read = owned.Placed, owned.Read
+	all.Placed, all.Prefilled = owned.Placed, owned.Prefilled
 	return all
 }
 
@@ -166,7 +166,7 @@
 	}
 }
 
-func (x *Exchange) announceThis(told routing.Told, uses map[string]limits.Counted, to []net.Addr) {
+func (x *Exchange) announceThis(told routing.PeerReport, uses map[string]limits.Counted, to []net.Addr) {
 	a := encode(told, uses)
 	a.Instance, a.Process = x.Self.ID, x.process
 	x.sendMu.Lock()
@@ -193,7 +193,7 @@
 		return
 	}
 	// What endpoints of others have to do with this one comes with the digests.
-	x.Endpoints.Heard(a.Instance, told.Only(r.owned), nil)
+	x.Endpoints.Heard(a.Instance, told.Filter(r.owned), nil)
 	if r.sumsUp() && x.repeatsToTell() {
 		x.wakeUp()
 	}
--- a/gateway/exchange/announcement.go
+++ b/gateway/exchange/announcement.go
@@ -23,13 +23,13 @@
 )
 
 // encode returns an announcement of what an instance has to tell of endpoints, and of what it has counted.
-func encode(own routing.Told, uses map[string]limits.Counted) *peerv1.Announcement {
+func encode(own routing.PeerReport, uses map[string]limits.Counted) *peerv1.Announcement {
 	a := &peerv1.Announcement{
 		Suspects: own.Suspects[:min(len(own.Suspects), suspectsMost)],
 		Ended:    own.Ended[:min(len(own.Ended), endedMost)],
 		Uses:     encodeUses(uses),
 	}
-	for _, r := range own.Read[:min(len(own.Read), readMost)] {
+	for _, r := range own.Prefilled[:min(len(own.Prefilled), readMost)] {
 		a.Read = append(a.Read, &peerv1.ReadAt{Endpoint: r.Endpoint, Prompt: r.Prompt})
 	}
 	for _, id := range most(own.Placed, placedMost, func(p routing.Placed) float64 { return float64(p.Tokens) }) {
@@ -41,11 +41,11 @@
 }
 
 func encodePlaced(id string, p *routing.Placed) *peerv1.PlacedAt {
-	return &peerv1.PlacedAt{Endpoint: id, Open: uint32(p.Open), Tokens: uint32(p.Tokens), Unread: uint32(p.Unread)}
+	return &peerv1.PlacedAt{Endpoint: id, Open: uint32(p.Open), Tokens: uint32(p.Tokens), Unread: uint32(p.PendingPrefill)}
 }
 
 func decodePlaced(p *peerv1.PlacedAt) routing.Placed {
-	return routing.Placed{Open: int(p.GetOpen()), Tokens: int(p.GetTokens()), Unread: int(p.GetUnread())}
+	return routing.Placed{Open: int(p.GetOpen()), Tokens: int(p.GetTokens()), PendingPrefill: int(p.GetUnread())}
 }
 
 func encodeOutcomes(of map[string]health.Counts) []*peerv1.OutcomesAt {
@@ -111,8 +111,8 @@
 }
 
 // decode returns what an announcement tells.
-func decode(a *peerv1.Announcement) (routing.Told, map[string]limits.Counted) {
-	t := routing.Told{
+func decode(a *peerv1.Announcement) (routing.PeerReport, map[string]limits.Counted) {
+	t := routing.PeerReport{
 		Suspects: a.Suspects, Ended: a.Ended, Placed: make(map[string]routing.Placed, len(a.Placed)),
 		Outcomes: decodeOutcomes(a.Outcomes), Paces: decodePaces(a.Paces),
 	}
@@ -120,20 +120,20 @@
 		t.Placed[p.Endpoint] = decodePlaced(p)
 	}
 	for _, r := range a.Read {
-		t.Read = append(t.Read, routing.Read{Endpoint: r.Endpoint, Prompt: r.Prompt})
+		t.Prefilled = append(t.Prefilled, routing.PrefilledPrompt{Endpoint: r.Endpoint, Prompt: r.Prompt})
 	}
 	return t, decodeUses(a.Uses)
 }
 
 // encodeDigest adds what is summed up to a digest. A data centre whose engines are all lost has more to tell than an
 // instance; it is told of twice as many.
-func encodeDigest(d *peerv1.Digest, t routing.Told, uses map[string]limits.Counted) *peerv1.Digest {
+func encodeDigest(d *peerv1.Digest, t routing.PeerReport, uses map[string]limits.Counted) *peerv1.Digest {
 	d.Suspects = t.Suspects[:min(len(t.Suspects), 2*suspectsMost)]
 	d.Ended = t.Ended[:min(len(t.Ended), endedMost)]
 	d.Outcomes, d.Paces, d.Uses = encodeOutcomes(t.Outcomes), encodePaces(t.Paces), encodeUses(uses)
 	return d
 }
 
-func decodeDigest(d *peerv1.Digest) (routing.Told, map[string]limits.Counted) {
-	return routing.Told{Suspects: d.Suspects, Ended: d.Ended, Outcomes: decodeOutcomes(d.Outcomes), Paces: decodePaces(d.Paces)}, decodeUses(d.Uses)
+func decodeDigest(d *peerv1.Digest) (routing.PeerReport, map[string]limits.Counted) {
+	return routing.PeerReport{Suspects: d.Suspects, Ended: d.Ended, Outcomes: decodeOutcomes(d.Outcomes), Paces: decodePaces(d.Paces)}, decodeUses(d.Uses)
 }
--- a/gateway/exchange/ask.go
+++ b/gateway/exchange/ask.go
@@ -142,15 +142,15 @@
 func encodeSummary(s *routing.Summary) *peerv1.Summary {
 	return &peerv1.Summary{
 		Placed:   encodePlaced(s.Endpoint, &s.Placed),
-		Suspects: uint32(max(s.Doubters, 0)), Outcomes: &peerv1.OutcomesAt{Good: tenths(s.Outcomes.Good), Bad: tenths(s.Outcomes.Bad)},
-		Pace: tenths(s.Pace), Ended: s.Ended, Read: s.Read,
+		Suspects: uint32(max(s.SuspectedBy, 0)), Outcomes: &peerv1.OutcomesAt{Good: tenths(s.Outcomes.Good), Bad: tenths(s.Outcomes.Bad)},
+		Pace: tenths(s.Pace), Ended: s.Ended, Read: s.Prefilled,
 	}
 }
 
 func decodeSummary(s *peerv1.Summary) routing.Summary {
 	return routing.Summary{
-		Endpoint: s.GetPlaced().GetEndpoint(), Placed: decodePlaced(s.GetPlaced()), Doubters: int(s.Suspects),
+		Endpoint: s.GetPlaced().GetEndpoint(), Placed: decodePlaced(s.GetPlaced()), SuspectedBy: int(s.Suspects),
 		Outcomes: health.Counts{Good: ofTenths(s.GetOutcomes().GetGood()), Bad: ofTenths(s.GetOutcomes().GetBad())},
-		Pace:     ofTenths(s.Pace), Ended: s.Ended, Read: s.Read,
+		Pace:     ofTenths(s.Pace), Ended: s.Ended, Prefilled: s.Read,
 	}
 }
--- a/gateway/exchange/claim.go
+++ b/gateway/exchange/claim.go
@@ -45,8 +45,8 @@
 		x.askMu.Unlock()
 	}()
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Claim{Claim: &peerv1.Claim{
-		Instance: x.Self.ID, Number: number, Endpoint: endpoint, Tokens: uint32(c.Tokens), Unread: uint32(c.Unread),
-		Within: uint32(c.Within.Milliseconds()), Recovery: c.Recovery,
+		Instance: x.Self.ID, Number: number, Endpoint: endpoint, Tokens: uint32(c.Tokens), Unread: uint32(c.PendingPrefill),
+		Within: uint32(c.PrefillWithin.Milliseconds()), Recovery: c.Recovery,
 	}}}, r.to(owner)...)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -66,7 +66,7 @@
 		return
 	}
 	granted, known := x.Endpoints.Claim(c.Endpoint, c.Instance, routing.Claim{
-		Tokens: int(c.Tokens), Unread: int(c.Unread), Within: time.Duration(c.Within) * time.Millisecond, Recovery: c.Recovery,
+		Tokens: int(c.Tokens), PendingPrefill: int(c.Unread), PrefillWithin: time.Duration(c.Within) * time.Millisecond, Recovery: c.Recovery,
 	})
 	out := &peerv1.Grant{Number: c.Number, Granted: granted, Unknown: !known}
 	if s, ok := x.Endpoints.Summary(c.Endpoint, c.Instance, 0); ok && !granted {
--- a/gateway/exchange/digest.go
+++ b/gateway/exchange/digest.go
@@ -101,7 +101,7 @@
 	own, uses := x.Endpoints.Told(), x.Uses()
 	x.heardMu.Lock()
 	defer x.heardMu.Unlock()
-	all := []routing.Told{own}
+	all := []routing.PeerReport{own}
 	for i := range r.alive {
 		if h := x.heard[r.alive[i].ID]; h != nil && r.alive[i].DataCentre == x.Self.DataCentre {
 			all = append(all, h.told)
@@ -155,7 +155,7 @@
 		x.metrics.sumAge.RecordDuration(now - old.at)
 	}
 	if old != nil && !same {
-		x.Endpoints.Heard(name, routing.Told{}, nil) // it has begun to count anew
+		x.Endpoints.Heard(name, routing.PeerReport{}, nil) // it has begun to count anew
 	}
 	r := x.roster()
 	told, uses := decodeDigest(d)
@@ -163,7 +163,7 @@
 		x.Endpoints.Counted(name, uses)
 		return true
 	}
-	x.Endpoints.Heard(name, told.Only(func(id string) bool { return !r.owned(id) }), uses)
+	x.Endpoints.Heard(name, told.Filter(func(id string) bool { return !r.owned(id) }), uses)
 	return true
 }
 
@@ -179,6 +179,6 @@
 	}
 	x.heardMu.Unlock()
 	for _, dc := range late {
-		x.Endpoints.Heard(digestOf(dc), routing.Told{}, nil)
+		x.Endpoints.Heard(digestOf(dc), routing.PeerReport{}, nil)
 	}
 }
--- a/gateway/exchange/exchange.go
+++ b/gateway/exchange/exchange.go
@@ -34,10 +34,10 @@
 // Endpoints is what this instance knows of endpoints, and takes from others.
 type Endpoints interface {
 	// Told returns what this instance has to tell.
-	Told() routing.Told
+	Told() routing.PeerReport
 	// Heard takes what another instance told, or several together did; the zero value forgets it. uses is what it has
 	// counted by service, nil where that is not told.
-	Heard(instance string, t routing.Told, uses map[string]limits.Counted)
+	Heard(instance string, t routing.PeerReport, uses map[string]limits.Counted)
 	// Counted takes what another instance, or several together, have counted by service.
 	Counted(instance string, uses map[string]limits.Counted)
 	// SetOwned says of which endpoints this instance hears all that others place there.
--- a/gateway/exchange/exchange_bench_test.go
+++ b/gateway/exchange/exchange_bench_test.go
@@ -53,10 +53,10 @@
 // viewed is a view of endpoints that takes what others tell.
 type viewed struct{ view *routing.View }
 
-func (v *viewed) Told() routing.Told { return routing.Told{Placed: v.view.Own()} }
+func (v *viewed) Told() routing.PeerReport { return routing.PeerReport{Placed: v.view.OwnPlacements()} }
 
-func (v *viewed) Heard(instance string, t routing.Told, _ map[string]limits.Counted) {
-	v.view.SetPeer(time.Time{}, instance, t)
+func (v *viewed) Heard(instance string, t routing.PeerReport, _ map[string]limits.Counted) {
+	v.view.SetPeerReport(time.Time{}, instance, t)
 }
 
 func (v *viewed) Counted(string, map[string]limits.Counted) {}
@@ -70,4 +70,6 @@
 	return v.view.Summary(time.Time{}, endpoint, asking, prompt)
 }
 
-func (v *viewed) Learn(s *routing.Summary, prompt uint64) { v.view.Learn(time.Time{}, s, prompt) }
+func (v *viewed) Learn(s *routing.Summary, prompt uint64) {
+	v.view.ApplySummary(time.Time{}, s, prompt)
+}
--- a/gateway/exchange/exchange_test.go
+++ b/gateway/exchange/exchange_test.go
@@ -35,10 +35,10 @@
 
 // TestAnnouncementTellsAll: what an instance tells arrives as it was, to a tenth.
 func TestAnnouncementTellsAll(t *testing.T) {
-	told := routing.Told{
-		Placed: map[string]routing.Placed{"e1": {Open: 2, Tokens: 9400, Unread: 8000}}, Suspects: []string{"e2"}, Ended: []string{"e3"},
+	told := routing.PeerReport{
+		Placed: map[string]routing.Placed{"e1": {Open: 2, Tokens: 9400, PendingPrefill: 8000}}, Suspects: []string{"e2"}, Ended: []string{"e3"},
 		Outcomes: map[string]health.Counts{"p1": {Good: 12.3, Bad: 4.6}}, Paces: map[string]float64{"e4": 3.7},
-		Read: []routing.Read{{Endpoint: "e1", Prompt: 0x5c1e}},
+		Prefilled: []routing.PrefilledPrompt{{Endpoint: "e1", Prompt: 0x5c1e}},
 	}
 	uses := map[string]limits.Counted{"plain": {Requests: 100, Repeats: 3}}
 	raw, err := proto.Marshal(encode(told, uses))
@@ -52,13 +52,13 @@
 
 // TestAnnouncementFitsADatagram: an instance that has much to tell tells the most important of it.
 func TestAnnouncementFitsADatagram(t *testing.T) {
-	told := routing.Told{Placed: map[string]routing.Placed{}, Outcomes: map[string]health.Counts{}, Paces: map[string]float64{}}
+	told := routing.PeerReport{Placed: map[string]routing.Placed{}, Outcomes: map[string]health.Counts{}, Paces: map[string]float64{}}
 	for i := range 300 {
 		id := fmt.Sprintf("i-7f3a91c%03d", i)
-		told.Placed[id] = routing.Placed{Open: 9, Tokens: 88000, Unread: 88000}
+		told.Placed[id] = routing.Placed{Open: 9, Tokens: 88000, PendingPrefill: 88000}
 		told.Suspects, told.Ended = append(told.Suspects, id), append(told.Ended, id)
 		told.Outcomes[id], told.Paces[id] = health.Counts{Good: 900, Bad: float64(i)}, 8
-		told.Read = append(told.Read, routing.Read{Endpoint: id, Prompt: 1 << 60})
+		told.Prefilled = append(told.Prefilled, routing.PrefilledPrompt{Endpoint: id, Prompt: 1 << 60})
 	}
 	uses := map[string]limits.Counted{"plain": {Requests: 1 << 40, Repeats: 1 << 30}, "engines": {Requests: 1 << 40, Repeats: 1 << 30}}
 	a := encode(told, uses)
@@ -77,7 +77,7 @@
 
 // FuzzAnnouncement: what comes in a datagram is taken or counted as malformed.
 func FuzzAnnouncement(f *testing.F) {
-	raw, err := proto.Marshal(encode(routing.Told{Placed: map[string]routing.Placed{"a@1": {Open: 1, Tokens: 2, Unread: 3}}}, nil))
+	raw, err := proto.Marshal(encode(routing.PeerReport{Placed: map[string]routing.Placed{"a@1": {Open: 1, Tokens: 2, PendingPrefill: 3}}}, nil))
 	assert.NilError(f, err)
 	f.Add(raw)
 	f.Add([]byte{0xff})
@@ -88,7 +88,7 @@
 		}
 		told, _ := decode(&a)
 		for id, p := range told.Placed {
-			if p.Open < 0 || p.Tokens < 0 || p.Unread < 0 {
+			if p.Open < 0 || p.Tokens < 0 || p.PendingPrefill < 0 {
 				t.Fatalf("%s: %+v", id, p)
 			}
 		}
--- a/gateway/exchange/fleet_test.go
+++ b/gateway/exchange/fleet_test.go
@@ -63,7 +63,7 @@
 	log   *logrus.Logger
 
 	mu    sync.Mutex
-	told  routing.Told
+	told  routing.PeerReport
 	uses  map[string]limits.Counted
 	view  *routing.View
 	heard map[string]map[string]limits.Counted
@@ -113,7 +113,7 @@
 	return ok
 }
 
-func (n *node) Told() routing.Told {
+func (n *node) Told() routing.PeerReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.told
@@ -125,10 +125,10 @@
 	return maps.Clone(n.uses)
 }
 
-func (n *node) Heard(instance string, t routing.Told, uses map[string]limits.Counted) {
+func (n *node) Heard(instance string, t routing.PeerReport, uses map[string]limits.Counted) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.SetPeer(time.Now(), instance, t)
+	n.view.SetPeerReport(time.Now(), instance, t)
 	n.heard[instance] = uses
 }
 
@@ -159,7 +159,7 @@
 func (n *node) Learn(s *routing.Summary, prompt uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.Learn(time.Now(), s, prompt)
+	n.view.ApplySummary(time.Now(), s, prompt)
 }
 
 // repeats returns what all data centres have sent again, as this instance heard.
--- a/gateway/exchange/knowledge_test.go
+++ b/gateway/exchange/knowledge_test.go
@@ -61,7 +61,7 @@
 			n.view.Upsert(routing.Endpoint{ID: engine, Service: "engines", Slots: 6, Memory: 88000})
 			n.mu.Unlock()
 		}
-		place := func(i int, told routing.Told) {
+		place := func(i int, told routing.PeerReport) {
 			n := w.nodes[i]
 			n.mu.Lock()
 			n.told = told
@@ -73,22 +73,22 @@
 			n.Ask(w.Context(), prompt, []string{engine})
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return n.view.Unread(time.Now(), engine)
+			return n.view.PendingPrefill(time.Now(), engine)
 		}
 		for i := range 3 {
-			place(i, routing.Told{Placed: map[string]routing.Placed{engine: {Open: 1, Tokens: 9400, Unread: 8000}}})
+			place(i, routing.PeerReport{Placed: map[string]routing.Placed{engine: {Open: 1, Tokens: 9400, PendingPrefill: 8000}}})
 		}
 		time.Sleep(2 * changeGap)
 		for i := 3; i < size; i++ {
 			assert.Equal(w, unread(i), 3*8000, "instance %d", i)
 		}
 		assert.Equal(w, unread(0), 2*8000, "its own is not counted twice")
-		place(0, routing.Told{Read: []routing.Read{{Endpoint: engine, Prompt: prompt}}})
-		place(1, routing.Told{})
+		place(0, routing.PeerReport{Prefilled: []routing.PrefilledPrompt{{Endpoint: engine, Prompt: prompt}}})
+		place(1, routing.PeerReport{})
 		time.Sleep(2 * changeGap)
 		for i := 3; i < size; i++ {
 			assert.Equal(w, unread(i), 8000, "instance %d", i)
-			assert.Assert(w, w.nodes[i].view.Holds(time.Now(), prompt))
+			assert.Assert(w, w.nodes[i].view.HoldsPrefix(time.Now(), prompt))
 		}
 		owner := w.nodes[50].roster().owners(engine)[0]
 		for i, n := range w.nodes {
--- a/gateway/exchange/members.go
+++ b/gateway/exchange/members.go
@@ -370,6 +370,6 @@
 	delete(x.heard, id)
 	x.heardMu.Unlock()
 	if known {
-		x.Endpoints.Heard(id, routing.Told{}, nil)
+		x.Endpoints.Heard(id, routing.PeerReport{}, nil)
 	}
 }
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -99,16 +99,16 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	a := &attempt{session: s, number: number, endpoint: *e, cancel: cancel, repeat: s.sent(), from: from, placed: routing.Placed{Tokens: s.tokens()}}
 	if !a.recovery() {
-		a.placed.Unread = s.req.PromptTokens
+		a.placed.PendingPrefill = s.req.PromptTokens
 	}
-	if a.placed.Unread > 0 && !cached {
-		a.reading = a.placed.Unread + s.f.Placement.Unread(e.ID)
+	if a.placed.PendingPrefill > 0 && !cached {
+		a.reading = a.placed.PendingPrefill + s.f.Placement.Unread(e.ID)
 	}
 	a.sentAt = time.Now()
 	a.loss = s.req.loss(e)
 	a.loss.Served, a.loss.Urgent = s.served, s.relayed > 0
 	a.send = platform.Send{
-		Endpoint: e.CalledBy(), Left: s.req.left(time.Now()), Team: s.req.teamName(), Rank: s.req.rank,
+		Endpoint: e.RequestName(), Left: s.req.left(time.Now()), Team: s.req.teamName(), Rank: s.req.rank,
 		LastEvent: s.lastEvent, CopyFrom: from.Address, CopyName: from.Handle, CopyTo: s.placeCopy(e),
 	}
 	a.trial = s.f.Rollouts.Begin(s.req.route.Name, e)
@@ -129,7 +129,7 @@
 	a.once.Do(func() {
 		f, id := a.session.f, a.endpoint.ID
 		a.trial.Answered(a.readTime(time.Now()))
-		f.Placement.Release(id, routing.Placed{Unread: a.placed.Unread})
+		f.Placement.Release(id, routing.Placed{PendingPrefill: a.placed.PendingPrefill})
 		f.Placement.Stored(id, a.session.req.promptKey())
 		f.Placement.Succeeded(id)
 		if a.reading > 0 {
@@ -145,7 +145,7 @@
 func (a *attempt) run(ctx context.Context) {
 	f := a.session.f
 	defer func() {
-		a.once.Do(func() { f.Placement.Release(a.endpoint.ID, routing.Placed{Unread: a.placed.Unread}) })
+		a.once.Do(func() { f.Placement.Release(a.endpoint.ID, routing.Placed{PendingPrefill: a.placed.PendingPrefill}) })
 		f.Placement.Finished(a.endpoint.ID, routing.Placed{Tokens: a.placed.Tokens})
 		f.Others.Freed(a.endpoint.ID)
 	}()
--- a/gateway/forward/claim.go
+++ b/gateway/forward/claim.go
@@ -18,7 +18,7 @@
 	for range claimTries {
 		d, err := f.Placement.Pick(r)
 		if err != nil {
-			if len(r.Avoid) > len(avoid) && errors.Is(err, routing.ErrNone) {
+			if len(r.Avoid) > len(avoid) && errors.Is(err, routing.ErrNoEndpoint) {
 				err = routing.ErrFull
 			}
 			return d, err
@@ -33,7 +33,7 @@
 }
 
 func claimOf(r *routing.Request) routing.Claim {
-	return routing.Claim{Tokens: r.Tokens, Unread: r.Prompt, Within: r.Within, Recovery: r.Recovery}
+	return routing.Claim{Tokens: r.Tokens, PendingPrefill: r.PromptTokens, PrefillWithin: r.PrefillWithin, Recovery: r.Recovery}
 }
 
 // claimKept is how long an engine claimed for a request that waited is used without another choice.
@@ -43,7 +43,7 @@
 func (req *request) claimedEngine(r *routing.Request) *routing.Decision {
 	d := req.engine
 	req.engine = nil
-	if d == nil || time.Since(req.claimedAt) >= claimKept || !r.Builds.Allow(&d.Endpoint) || slices.Contains(r.Avoid, d.Endpoint.ID) {
+	if d == nil || time.Since(req.claimedAt) >= claimKept || !r.Builds.Allows(&d.Endpoint) || slices.Contains(r.Avoid, d.Endpoint.ID) {
 		return nil
 	}
 	return d
--- a/gateway/forward/copies.go
+++ b/gateway/forward/copies.go
@@ -70,15 +70,15 @@
 // other one has room. It returns nil when there is none at all.
 func (s *session) pickCopy(e *routing.Endpoint) *routing.Endpoint {
 	r := s.request()
-	r.Avoid, r.Away, r.Copy, r.Weights = []string{e.ID}, e.DataCentre, true, copyWeights()
-	r.Builds, r.Short = s.f.Rollouts.CopyBuilds(s.req.service), s.f.short(s.req.service)
-	r.Moves = r.Builds.Only != ""
+	r.Avoid, r.ExcludeDataCentre, r.Copy, r.Weights = []string{e.ID}, e.DataCentre, true, copyWeights()
+	r.Builds, r.RequestsWaiting = s.f.Rollouts.CopyBuilds(s.req.service), s.f.short(s.req.service)
+	r.WillMoveToCopy = r.Builds.Only != ""
 	if s.f.Settings.Without.CopyElsewhere {
-		r.Away = ""
+		r.ExcludeDataCentre = ""
 	}
 	d, err := s.f.Placement.Pick(r)
 	if err != nil {
-		r.Away = ""
+		r.ExcludeDataCentre = ""
 		d, err = s.f.Placement.Pick(r)
 	}
 	if err != nil {
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -188,7 +188,7 @@
 		if err == nil {
 			return &d.Endpoint, nil
 		}
-		if len(p.avoid) > 0 && errors.Is(err, routing.ErrNone) || !time.Now().Add(waitStep).Before(until) {
+		if len(p.avoid) > 0 && errors.Is(err, routing.ErrNoEndpoint) || !time.Now().Add(waitStep).Before(until) {
 			return nil, refuse(http.StatusServiceUnavailable, err.Error(), whenRoom(0))
 		}
 		if !pause.For(ctx, waitStep) {
@@ -220,7 +220,7 @@
 	f.Placement.Sent(e.ID, routing.Placed{})
 	defer f.Placement.Finished(e.ID, routing.Placed{})
 	x, err := conn.Do(ctx, req.outgoing(&platform.Send{
-		Endpoint: e.CalledBy(), Left: req.left(time.Now()), Team: req.teamName(), Rank: -1,
+		Endpoint: e.RequestName(), Left: req.left(time.Now()), Team: req.teamName(), Rank: -1,
 	}), req.mine)
 	if err != nil {
 		return nil, p.lost(ctx, l, t, err), err
--- a/gateway/forward/probe.go
+++ b/gateway/forward/probe.go
@@ -36,7 +36,7 @@
 		s.f.Log.Decision(s.req.ID, "engine asked", logrus.Fields{
 			"endpoint": a.endpoint.ID, "alive": m.alive, "events": m.events, "error": errorText(err),
 			"running": report.Running, "waiting": report.Waiting, "used": report.Used, "placed": placed.Open, "placed_tokens": placed.Tokens,
-			"unread": placed.Unread,
+			"unread": placed.PendingPrefill,
 		})
 		a.tell(s.ctx, m)
 	}()
@@ -45,7 +45,7 @@
 // stillHas tells whether an engine may still have a request. One that started again since it was listed knows nothing of
 // before, and what was believed of it is forgotten.
 func (f *Forwarder) stillHas(e *routing.Endpoint, r *platform.Report, id string, countable bool) (bool, int) {
-	if e.Born != 0 && r.Born > e.Born {
+	if e.StartedUnixMS != 0 && r.Born > e.StartedUnixMS {
 		f.Placement.Forget(e.ID)
 		return false, 0
 	}
--- a/gateway/forward/reads.go
+++ b/gateway/forward/reads.go
@@ -33,12 +33,12 @@
 }
 
 // Read returns the prompts of streams in progress that engines have read.
-func (f *Forwarder) Read() []routing.Read {
+func (f *Forwarder) Read() []routing.PrefilledPrompt {
 	f.reads.mu.Lock()
 	defer f.reads.mu.Unlock()
-	out := make([]routing.Read, 0, len(f.reads.at))
+	out := make([]routing.PrefilledPrompt, 0, len(f.reads.at))
 	for prompt, endpoint := range f.reads.at {
-		out = append(out, routing.Read{Endpoint: endpoint, Prompt: prompt})
+		out = append(out, routing.PrefilledPrompt{Endpoint: endpoint, Prompt: prompt})
 	}
 	return out
 }
--- a/gateway/forward/rollouts.go
+++ b/gateway/forward/rollouts.go
@@ -13,9 +13,9 @@
 // Rollouts says which builds of endpoints may serve requests, while a service moves from one to another.
 type Rollouts interface {
 	// Builds returns the builds that may serve a request of a route. draw is drawn once a request; 1 keeps it at the baseline.
-	Builds(service, route string, draw float64) routing.Builds
+	Builds(service, route string, draw float64) routing.BuildFilter
 	// CopyBuilds returns the builds whose endpoints may keep a copy of a request's memory.
-	CopyBuilds(service string) routing.Builds
+	CopyBuilds(service string) routing.BuildFilter
 	// ResumeWait returns how long a stream waits that an endpoint has broken off before it goes on elsewhere.
 	ResumeWait(e *routing.Endpoint) time.Duration
 	// RolledBack tells whether a request has to leave an endpoint.
@@ -27,17 +27,17 @@
 // noRollouts moves nothing.
 type noRollouts struct{}
 
-func (noRollouts) Builds(string, string, float64) routing.Builds   { return routing.Builds{} }
-func (noRollouts) CopyBuilds(string) routing.Builds                { return routing.Builds{} }
-func (noRollouts) ResumeWait(*routing.Endpoint) time.Duration      { return 0 }
-func (noRollouts) RolledBack(*routing.Endpoint) bool               { return false }
-func (noRollouts) Begin(string, *routing.Endpoint) *rollouts.Trial { return nil }
+func (noRollouts) Builds(string, string, float64) routing.BuildFilter { return routing.BuildFilter{} }
+func (noRollouts) CopyBuilds(string) routing.BuildFilter              { return routing.BuildFilter{} }
+func (noRollouts) ResumeWait(*routing.Endpoint) time.Duration         { return 0 }
+func (noRollouts) RolledBack(*routing.Endpoint) bool                  { return false }
+func (noRollouts) Begin(string, *routing.Endpoint) *rollouts.Trial    { return nil }
 
 // atBaseline is the draw of a retry: whatever lost the request, the build in service is the safer one.
 const atBaseline = 1
 
 // builds returns the builds that may serve a request now.
-func (f *Forwarder) builds(req *request) routing.Builds {
+func (f *Forwarder) builds(req *request) routing.BuildFilter {
 	return f.Rollouts.Builds(req.service, req.route.Name, req.draw)
 }
 
@@ -90,7 +90,7 @@
 	}
 	h, copied := s.copies.Holder()
 	if e, known := s.f.Placement.Get(h.Endpoint); copied && known {
-		if builds := s.f.Rollouts.CopyBuilds(s.req.service); !builds.Allow(&e) {
+		if builds := s.f.Rollouts.CopyBuilds(s.req.service); !builds.Allows(&e) {
 			s.copies.Move(now)
 			s.account("")
 			copied = false
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -239,8 +239,8 @@
 func (f *Forwarder) engineRequest(req *request) *routing.Request {
 	return &routing.Request{
 		Service: req.service, Model: req.Model, DataCentre: f.Settings.DataCentre, Key: req.ID,
-		Prefixes: []uint64{req.promptKey()}, Tokens: req.PromptTokens + req.OutputTokens, Prompt: req.PromptTokens, Weights: f.Settings.engineWeights(),
-		Builds: f.builds(req), Within: req.readWithin(time.Now()),
+		Prefixes: []uint64{req.promptKey()}, Tokens: req.PromptTokens + req.OutputTokens, PromptTokens: req.PromptTokens, Weights: f.Settings.engineWeights(),
+		Builds: f.builds(req), PrefillWithin: req.readWithin(time.Now()),
 	}
 }
 
@@ -263,11 +263,11 @@
 // delays each stream that runs there, by most of its time; half of it is counted, since the new stream
 // itself is not delayed. Streams took 6.6 s instead of 6.7 s, 9.7 s instead of 10.3 s for 95 in 100.
 func (s *Settings) engineWeights() routing.Weights {
-	return s.without(routing.Weights{Cache: 2, Remote: 0.02, Unread: 1, Running: 0.5, Memory: 0.3, Health: 1.5, Pace: 1})
+	return s.without(routing.Weights{Cache: 2, Remote: 0.02, PendingPrefill: 1, Running: 0.5, Memory: 0.3, Health: 1.5, Pace: 1})
 }
 
 // carefulWeights ranks engines for a request that may end them: those with few others lose least.
-func carefulWeights() routing.Weights { return routing.Weights{Load: 1, Running: 1, Unread: 1} }
+func carefulWeights() routing.Weights { return routing.Weights{Load: 1, Running: 1, PendingPrefill: 1} }
 
 // without leaves out the weights of mechanisms that are switched off.
 func (s *Settings) without(w routing.Weights) routing.Weights {
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -169,9 +169,9 @@
 	f.store.Observe(f.countCall)
 	view := routing.DefaultSettings()
 	view.Choices = choices
-	view.QueueFactor, view.LastResort, view.ByPrompt = queueFactor, true, s.Mechanisms.ByPrompt
+	view.QueueFactor, view.FallBackToSuspected, view.ByPrompt = queueFactor, true, s.Mechanisms.ByPrompt
 	if !s.Mechanisms.Doubt {
-		view.Doubt = 0
+		view.SuspicionPenalty = 0
 	}
 	f.placement = placement.New(view, rand.Uint64())
 	f.pool = upstream.NewPool(dial)
--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -13,17 +13,17 @@
 // [exchange.Endpoints].
 type shared struct{ f *Front }
 
-func (s *shared) Told() routing.Told {
+func (s *shared) Told() routing.PeerReport {
 	f := s.f
 	if !f.settings.Mechanisms.Announcements {
-		return routing.Told{}
+		return routing.PeerReport{}
 	}
 	t := f.placement.Told()
-	t.Read = f.forwarder.Read()
+	t.Prefilled = f.forwarder.Read()
 	return t
 }
 
-func (s *shared) Heard(instance string, t routing.Told, uses map[string]limits.Counted) {
+func (s *shared) Heard(instance string, t routing.PeerReport, uses map[string]limits.Counted) {
 	f := s.f
 	f.placement.SetPeer(instance, t)
 	if len(t.Ended) > 0 {
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -49,7 +49,7 @@
 func (p *Placement) Likely(r *routing.Request, n int) []routing.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Likely(time.Now(), r, n)
+	return p.view.LikelyEndpoints(time.Now(), r, n)
 }
 
 // Get returns an endpoint.
@@ -128,7 +128,7 @@
 func (p *Placement) Lost(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Lost(time.Now(), id)
+	p.view.AnswerLost(time.Now(), id)
 }
 
 // Succeeded clears the suspicion of an endpoint.
@@ -143,9 +143,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if good {
-		p.view.Good(time.Now(), id)
+		p.view.CountSuccess(time.Now(), id)
 	} else {
-		p.view.Bad(time.Now(), id)
+		p.view.CountFailure(time.Now(), id)
 	}
 }
 
@@ -153,35 +153,35 @@
 func (p *Placement) Read(id string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Read(time.Now(), id, tokens, took)
+	p.view.ObservePrefill(time.Now(), id, tokens, took)
 }
 
 // Reading records for how long an engine has been reading prompt tokens.
 func (p *Placement) Reading(id string, tokens int, passed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Reading(time.Now(), id, tokens, passed)
+	p.view.ObserveOngoingPrefill(time.Now(), id, tokens, passed)
 }
 
 // Unread returns how many prompt tokens are believed to be read at an engine before those of a new request.
 func (p *Placement) Unread(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Unread(time.Now(), id)
+	return p.view.PendingPrefill(time.Now(), id)
 }
 
 // At returns what is believed to be placed at an endpoint, by all instances.
 func (p *Placement) At(id string) routing.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.At(time.Now(), id)
+	return p.view.PlacedAt(time.Now(), id)
 }
 
 // Expected returns how long the engines of a service usually take to read some prompt tokens; false where that is not known.
 func (p *Placement) Expected(service string, tokens int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Expected(service, tokens)
+	return p.view.ExpectedPrefillTime(service, tokens)
 }
 
 // Forget drops what was learned of an endpoint that started again and is not listed anew yet.
@@ -209,25 +209,25 @@
 func (p *Placement) Holds(prompt uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Holds(time.Now(), prompt)
+	return p.view.HoldsPrefix(time.Now(), prompt)
 }
 
 // Told returns what other instances are told: what this one has placed, and what it found out about endpoints.
-func (p *Placement) Told() routing.Told {
+func (p *Placement) Told() routing.PeerReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	return routing.Told{
-		Placed: p.view.Own(), Suspects: p.view.Suspects(now), Ended: p.view.EndedLately(now),
+	return routing.PeerReport{
+		Placed: p.view.OwnPlacements(), Suspects: p.view.Suspects(now), Ended: p.view.RecentlyEnded(now),
 		Outcomes: p.view.Outcomes(now), Paces: p.view.Paces(now),
 	}
 }
 
 // SetPeer takes what another instance told; the zero value forgets the instance.
-func (p *Placement) SetPeer(peer string, t routing.Told) {
+func (p *Placement) SetPeer(peer string, t routing.PeerReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.SetPeer(time.Now(), peer, t)
+	p.view.SetPeerReport(time.Now(), peer, t)
 }
 
 // SetOwned says of which endpoints this instance hears all that others place there.
@@ -256,7 +256,7 @@
 func (p *Placement) Learn(s *routing.Summary, prompt uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Learn(time.Now(), s, prompt)
+	p.view.ApplySummary(time.Now(), s, prompt)
 }
 
 // Usable tells whether an endpoint is listed, does not leave, and is suspected neither by this instance nor
@@ -272,7 +272,7 @@
 func (p *Placement) Nearby(id string, from, to time.Time) (failed, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Nearby(id, from, to)
+	return p.view.FailuresInDataCentre(id, from, to)
 }
 
 // List returns all endpoints with what is believed of them.
--- a/gateway/rollouts/choose.go
+++ b/gateway/rollouts/choose.go
@@ -44,15 +44,15 @@
 
 // Builds returns the builds that may serve a request of a route. draw is a random number between 0 and 1, drawn once a request; 1
 // keeps it at the baseline while any requests stay there.
-func (r *Register) Builds(name, route string, draw float64) routing.Builds {
+func (r *Register) Builds(name, route string, draw float64) routing.BuildFilter {
 	if !r.active.Load() {
-		return routing.Builds{}
+		return routing.BuildFilter{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.services[name]
 	if s == nil || s.order == nil || s.state() == rollout.Completed {
-		return routing.Builds{}
+		return routing.BuildFilter{}
 	}
 	now, target := r.now(), s.target()
 	share := 0.0
@@ -61,28 +61,28 @@
 	}
 	switch {
 	case draw >= share && share < 1:
-		return routing.Builds{Except: target}
+		return routing.BuildFilter{Except: target}
 	case s.order.Moving():
-		return routing.Builds{Only: target}
+		return routing.BuildFilter{Only: target}
 	}
-	return routing.Builds{Only: target, Among: s.canary}
+	return routing.BuildFilter{Only: target, Among: s.canary}
 }
 
 // CopyBuilds returns the builds whose endpoints may keep a copy of a request's memory: those that outlast the order.
-func (r *Register) CopyBuilds(name string) routing.Builds {
+func (r *Register) CopyBuilds(name string) routing.BuildFilter {
 	if !r.active.Load() {
-		return routing.Builds{}
+		return routing.BuildFilter{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.services[name]
 	switch {
 	case s == nil || s.order == nil || s.state() == rollout.Completed:
-		return routing.Builds{}
+		return routing.BuildFilter{}
 	case s.running() && s.order.Moving():
-		return routing.Builds{Only: s.target()}
+		return routing.BuildFilter{Only: s.target()}
 	}
-	return routing.Builds{Except: s.target()}
+	return routing.BuildFilter{Except: s.target()}
 }
 
 // ResumeWait returns how long a stream waits that an endpoint has broken off before it goes on elsewhere.
--- a/gateway/rollouts/trial.go
+++ b/gateway/rollouts/trial.go
@@ -31,7 +31,7 @@
 	if s == nil || !s.running() {
 		return nil
 	}
-	t := &Trial{register: r, service: s, order: s.order, cell: rollout.Cell{Route: route}, cold: e.Cold > 0}
+	t := &Trial{register: r, service: s, order: s.order, cell: rollout.Cell{Route: route}, cold: e.ColdFor > 0}
 	if e.Build == s.target() {
 		t.cell.Arm, t.cell.Group = rollout.Target, rollout.GroupOf(e.ID)
 		r.metrics.exposed.Inc(1)
