--- a/core/listing/list.go
+++ b/core/listing/list.go
@@ -63,7 +63,7 @@
 
 // Put adds or updates an entry.
 func (l *List) Put(e routing.Endpoint) {
-	name := e.CalledBy()
+	name := e.RequestName()
 	old, known := l.entries[name]
 	if !known || old.ID != e.ID {
 		l.lastOrder++
@@ -110,7 +110,7 @@
 func (l *List) Replace(now time.Duration, all []routing.Endpoint) {
 	listed := make(map[string]bool, len(all))
 	for _, e := range all {
-		listed[e.CalledBy()] = true
+		listed[e.RequestName()] = true
 		l.Put(e)
 	}
 	for name := range l.entries {
@@ -173,8 +173,8 @@
 
 // startedAfter reports whether an entry's endpoint started after another's.
 func (e *entry) startedAfter(other *entry) bool {
-	if e.Born != other.Born && e.Born != 0 && other.Born != 0 {
-		return e.Born > other.Born
+	if e.StartedUnixMS != other.StartedUnixMS && e.StartedUnixMS != 0 && other.StartedUnixMS != 0 {
+		return e.StartedUnixMS > other.StartedUnixMS
 	}
 	return e.order > other.order
 }
--- a/core/listing/list_test.go
+++ b/core/listing/list_test.go
@@ -86,9 +86,9 @@
 // An endpoint that restarts under the same name replaces its former entry, although its ID differs.
 func TestRestartedEndpointReplacesPredecessor(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Put(routing.Endpoint{ID: "a@1", Name: "a", Address: "10.0.0.1:80", Born: 1})
-	l.Put(routing.Endpoint{ID: "b@1", Name: "b", Address: "10.0.0.2:80", Born: 1})
-	l.Put(routing.Endpoint{ID: "a@2", Name: "a", Address: "10.0.0.1:80", Born: 2})
+	l.Put(routing.Endpoint{ID: "a@1", Name: "a", Address: "10.0.0.1:80", StartedUnixMS: 1})
+	l.Put(routing.Endpoint{ID: "b@1", Name: "b", Address: "10.0.0.2:80", StartedUnixMS: 1})
+	l.Put(routing.Endpoint{ID: "a@2", Name: "a", Address: "10.0.0.1:80", StartedUnixMS: 2})
 	assert.DeepEqual(t, endpointIDs(l), []string{"a@2", "b@1"})
 	l.Remove(second, "a")
 	assert.DeepEqual(t, endpointIDs(l), []string{"b@1"})
@@ -97,8 +97,8 @@
 // Entries may arrive in any order; of two with the same address, the one that started last is used.
 func TestAddressBelongsToLatestStart(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Put(routing.Endpoint{ID: "new@9", Name: "new", Address: "10.0.0.1:80", Born: 9})
-	l.Put(routing.Endpoint{ID: "old@4", Name: "old", Address: "10.0.0.1:80", Born: 4})
+	l.Put(routing.Endpoint{ID: "new@9", Name: "new", Address: "10.0.0.1:80", StartedUnixMS: 9})
+	l.Put(routing.Endpoint{ID: "old@4", Name: "old", Address: "10.0.0.1:80", StartedUnixMS: 4})
 	assert.DeepEqual(t, endpointIDs(l), []string{"new@9"})
 }
 
