--- a/core/rollout/builds.go
+++ b/core/rollout/builds.go
@@ -2,45 +2,49 @@
 
 import "time"
 
-// Builds decides which builds of a service's endpoints may get requests. Endpoints of a build that was not seen before wait until
-// it is known that no order is about them.
+// Builds decides which builds of a service's endpoints may get requests. Endpoints of a build that
+// was not seen before wait until it is known that no order names that build. The zero value is
+// ready to use.
 type Builds struct {
 	known map[string]*build
-	// listed is set once the service's endpoints were listed and its orders were known.
-	listed bool
+	// initialized is set at the first update with known orders. Builds that are listed then are in
+	// service, except for the target of an order.
+	initialized bool
 }
 
 type build struct {
-	since time.Time
-	// usable builds get requests, retired ones were replaced and are about to stop.
-	usable  bool
-	retired time.Time
+	firstSeen time.Time
+	// usable builds may get requests. retiredAt is when a completed order replaced the build, and
+	// zero before. Its endpoints are about to stop.
+	usable    bool
+	retiredAt time.Time
 }
 
-// Times of builds.
 const (
 	// newBuildWait is how long endpoints of a new build wait for an order that names it.
 	newBuildWait = 1500 * time.Millisecond
-	// retiredFor is how long endpoints of a replaced build are expected to be listed after they stopped.
-	retiredFor = 10 * time.Second
+	// retiredHold is how long a replaced build is kept out of use. Its endpoints may still be
+	// listed for that time after they have stopped.
+	retiredHold = 10 * time.Second
 )
 
-// Listed takes the builds that are listed now. ordersKnown is when it was last known which orders there are; target is that of the
-// service's order and state its state, empty where there is none.
-func (b *Builds) Listed(now time.Time, listed map[string]bool, ordersKnown time.Time, target string, state State) {
+// Update takes the builds that are listed now. ordersKnown is when the list of orders was last
+// known to be current, and zero if it never was. target and state are those of the service's order;
+// target is empty if there is none.
+func (b *Builds) Update(now time.Time, listed map[string]bool, ordersKnown time.Time, target string, state State) {
 	if b.known == nil {
 		b.known = map[string]*build{}
 	}
-	first := !b.listed && !ordersKnown.IsZero()
-	b.listed = b.listed || first
+	initial := !b.initialized && !ordersKnown.IsZero()
+	b.initialized = b.initialized || initial
 	for name := range listed {
 		n := b.known[name]
 		if n == nil {
-			n = &build{since: now, usable: first || len(listed) == 1 && len(b.known) == 0}
+			n = &build{firstSeen: now, usable: initial || len(listed) == 1 && len(b.known) == 0}
 			b.known[name] = n
 		}
-		waited := now.Sub(n.since) >= newBuildWait && ordersKnown.Sub(n.since) >= newBuildWait
-		n.usable = n.usable || waited || first
+		waited := now.Sub(n.firstSeen) >= newBuildWait && ordersKnown.Sub(n.firstSeen) >= newBuildWait
+		n.usable = n.usable || waited || initial
 	}
 	for name := range b.known {
 		if !listed[name] && name != target {
@@ -48,20 +52,22 @@
 		}
 	}
 	if state == Completed {
-		b.retireAllBut(now, target)
+		b.retireOthers(now, target)
 	}
 }
 
-// retireAllBut notes that all builds but one were replaced.
-func (b *Builds) retireAllBut(now time.Time, target string) {
+// retireOthers marks all builds but the target as replaced.
+func (b *Builds) retireOthers(now time.Time, target string) {
 	for name, n := range b.known {
-		if name != target && n.retired.IsZero() && !n.since.After(now) {
-			n.retired = now
+		if name != target && n.retiredAt.IsZero() && !n.firstSeen.After(now) {
+			n.retiredAt = now
 		}
 	}
 }
 
-// Usable tells whether endpoints of a build may get requests. target is that of the service's order, empty where there is none.
+// Usable reports whether endpoints of a build may get requests. target and state are those of the
+// service's order; target is empty if there is none. withdrawn tells that the operator removed the
+// order.
 func (b *Builds) Usable(now time.Time, name, target string, state State, withdrawn bool) bool {
 	if name == target && target != "" {
 		return state != RolledBack && !withdrawn
@@ -70,14 +76,15 @@
 	if n == nil {
 		return false
 	}
-	retired := state == Completed && !n.retired.IsZero() && now.Sub(n.retired) < retiredFor
+	retired := state == Completed && !n.retiredAt.IsZero() && now.Sub(n.retiredAt) < retiredHold
 	return n.usable && !retired
 }
 
-// Waiting tells whether any build waits to be usable.
-func (b *Builds) Waiting() bool {
+// ChangesWithTime reports whether a build may become usable by the passing of time alone. That
+// holds for new builds that wait and for replaced ones.
+func (b *Builds) ChangesWithTime() bool {
 	for _, n := range b.known {
-		if !n.usable || !n.retired.IsZero() {
+		if !n.usable || !n.retiredAt.IsZero() {
 			return true
 		}
 	}
--- a/core/rollout/judge_test.go
+++ b/core/rollout/judge_test.go
@@ -8,11 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// counted is a tally of one route, with the target's requests spread over some groups of endpoints.
-func counted(base, target Counts, over int) Tally {
+// tallyInGroups returns a tally of one route. The target's requests are spread over some groups of
+// endpoints.
+func tallyInGroups(base, target Counts, groups int) Tally {
 	t := Tally{{Route: "r"}: &base}
-	for g := range over {
-		part := func(n uint64) uint64 { return n*uint64(g+1)/uint64(over) - n*uint64(g)/uint64(over) }
+	for g := range groups {
+		part := func(n uint64) uint64 { return n*uint64(g+1)/uint64(groups) - n*uint64(g)/uint64(groups) }
 		t[Cell{Route: "r", Arm: Target, Group: uint8(g)}] = &Counts{
 			Sent: part(target.Sent), Answered: part(target.Answered), Failed: part(target.Failed), Lost: part(target.Lost),
 		}
@@ -20,11 +21,12 @@
 	return t
 }
 
-// TestJudgeOutcomes: a target is compared with the baseline on the same route, and one bad endpoint does not condemn it.
+// TestJudgeOutcomes: the target is compared with the baseline on the same route. One bad endpoint
+// is not enough to find the target bad.
 func TestJudgeOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		base, target Counts
-		over         int
+		groups       int
 		bad          bool
 	}{
 		"nothing at all":                   {Counts{}, Counts{}, 0, false},
@@ -40,34 +42,35 @@
 		"most are lost":                    {Counts{Answered: 1000, Lost: 10}, Counts{Answered: 5, Lost: 30}, 3, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := Judge(counted(c.base, c.target, c.over), DefaultJudgeSettings())
+			j := Judge(tallyInGroups(c.base, c.target, c.groups), DefaultJudgeSettings())
 			assert.Equal(t, j.Bad, c.bad, "%+v", j)
-			assert.Equal(t, j.Why != "", j.Evidence > 0)
-			_, err := json.Marshal(j) // for the log
+			assert.Equal(t, j.Reason != "", j.Evidence > 0)
+			_, err := json.Marshal(j) // judgements are logged as JSON, which has no infinities
 			assert.NilError(t, err)
 		})
 	}
-	oneGrey := counted(Counts{Answered: 1000}, Counts{Answered: 60}, 3)
-	oneGrey[Cell{Route: "r", Arm: Target, Group: 1}].Failed = 30
-	assert.Assert(t, !Judge(oneGrey, DefaultJudgeSettings()).Bad)
+	oneBadEndpoint := tallyInGroups(Counts{Answered: 1000}, Counts{Answered: 60}, 3)
+	oneBadEndpoint[Cell{Route: "r", Arm: Target, Group: 1}].Failed = 30
+	assert.Assert(t, !Judge(oneBadEndpoint, DefaultJudgeSettings()).Bad)
 }
 
-// TestJudgeDurations: a target that takes several times as long is bad, one that takes a little longer is not.
+// TestJudgeDurations: a target that takes twice as long is bad; one that takes a fifth longer is
+// not.
 func TestJudgeDurations(t *testing.T) {
 	for name, c := range map[string]struct {
-		times float64
-		bad   bool
+		factor float64
+		bad    bool
 	}{"as long": {1, false}, "a fifth longer": {1.2, false}, "twice as long": {2, true}, "four times": {4, true}} {
 		t.Run(name, func(t *testing.T) {
-			tally := counted(Counts{Answered: 500}, Counts{Answered: 90}, 3)
+			tally := tallyInGroups(Counts{Answered: 500}, Counts{Answered: 90}, 3)
 			base := tally[Cell{Route: "r"}]
 			for i := range 500 {
-				base.First.Observe(time.Duration(10+i%20) * time.Millisecond)
+				base.AnswerTime.Observe(time.Duration(10+i%20) * time.Millisecond)
 			}
 			for g := range 3 {
 				n := tally[Cell{Route: "r", Arm: Target, Group: uint8(g)}]
 				for i := range 30 {
-					n.First.Observe(time.Duration(c.times * float64(10+(i*7)%20) * float64(time.Millisecond)))
+					n.AnswerTime.Observe(time.Duration(c.factor * float64(10+(i*7)%20) * float64(time.Millisecond)))
 				}
 			}
 			assert.Equal(t, Judge(tally, DefaultJudgeSettings()).Bad, c.bad)
@@ -75,18 +78,19 @@
 	}
 }
 
-// TestHistogram: durations keep their order, and the tail holds no more than its share.
+// TestHistogram: durations fall into buckets in order, and the buckets above the tail's start hold
+// no more than the requested share.
 func TestHistogram(t *testing.T) {
 	var h Histogram
 	for i := 1; i <= 1000; i++ {
 		h.Observe(time.Duration(i) * time.Millisecond)
 	}
 	assert.Equal(t, h.Total(), uint64(1000))
-	at := h.tail(0.1)
-	assert.Assert(t, h.above(at) <= 100)
-	assert.Assert(t, upperOf(at) >= 900*time.Millisecond && upperOf(at) < 1200*time.Millisecond, "%v", upperOf(at))
+	at := h.tailBucket(0.1)
+	assert.Assert(t, h.countAbove(at) <= 100)
+	assert.Assert(t, bucketUpperBound(at) >= 900*time.Millisecond && bucketUpperBound(at) < 1200*time.Millisecond, "%v", bucketUpperBound(at))
 	h.Observe(0)
 	h.Observe(time.Hour)
 	assert.Equal(t, h[0], uint64(2))
-	assert.Equal(t, h[buckets-1], uint64(1))
+	assert.Equal(t, h[bucketCount-1], uint64(1))
 }
--- a/core/rollout/order.go
+++ b/core/rollout/order.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// State is the state of an order as the store has it.
+// State is the state of an order in the store. It only moves forward; see [State.Final].
 type State int
 
-// States of an order.
 const (
-	// Ordered: nobody has acted on it yet.
+	// Ordered means that no instance has acted on the order yet.
 	Ordered State = iota
 	Running
 	Completed
 	RolledBack
 )
 
-// String returns the state's name.
+// String returns the name that logs and operator tools show.
 func (s State) String() string {
 	return [...]string{"ordered", "running", "completed", "rolled_back"}[s]
 }
 
-// Final tells that the state does not change any more.
+// Final reports whether the state is an outcome, which never changes.
 func (s State) Final() bool { return s == Completed || s == RolledBack }
 
-// Order asks to move a service to another build of its endpoints.
+// Order asks to move a service to another build of its endpoints, the target.
 type Order struct {
 	Service, Target string
-	// Created names the object's incarnation in the store.
+	// Created identifies the incarnation of the order's object in the store.
 	Created uint64
-	// Duration is the time within which the order has to end one way or the other.
+	// Duration is the time within which the order has to be completed or rolled back, counted from
+	// when it was given.
 	Duration time.Duration
 }
 
-// maxDuration bounds what counts as a sensible duration.
+// maxDuration is the longest duration that [Order.Validate] accepts.
 const maxDuration = 7 * 24 * time.Hour
 
-// Validate reports why an order can't be followed.
+// Validate returns an error if the service or the target is empty, or if the duration is not
+// positive or longer than a week.
 func (o *Order) Validate() error {
 	switch {
 	case o.Service == "":
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// ID distinguishes an order from others of the same service, earlier ones included.
+// ID returns an identifier that differs from those of all other orders of the service, earlier ones
+// included.
 func (o *Order) ID() string {
 	return fmt.Sprintf("%d/%s/%d", o.Created, o.Target, o.Duration.Milliseconds())
 }
--- a/core/rollout/reports.go
+++ b/core/rollout/reports.go
@@ -2,110 +2,113 @@
 
 import "time"
 
-// Report is what an instance, or all of a data centre together, knows of an order.
+// Report is what an instance tells its peers about an order. A summary covers all instances of a
+// data centre.
 type Report struct {
-	Service, Order string
+	Service, OrderID string
 	// Age is the time since the order was given.
 	Age      time.Duration
 	Decision Decision
-	// Why is the reason of a roll-back.
-	Why string
-	// Moving is the time since requests began to move.
-	Moving time.Duration
-	// Left is how many requests are at the baseline that can't go on at the target.
-	Left  int
-	Tally Tally
+	// Reason is the reason of a roll-back; empty without one.
+	Reason string
+	// MovingFor is the time since requests began to move; 0 before.
+	MovingFor time.Duration
+	// Undrained is how many requests are at the baseline and can't go on at the target.
+	Undrained int
+	Tally     Tally
 }
 
-// Source is who sent a report.
+// Source identifies the sender of a report.
 type Source struct {
-	// Name is the instance, or the data centre of a sum.
+	// Name is the instance that sent the report.
 	Name, DataCentre string
-	// Process changes when the sender starts again.
+	// Process changes when the sender restarts.
 	Process uint64
-	// Sum tells that the report sums up a data centre.
-	Sum bool
+	// IsSummary tells that the report covers all instances of the sender's data centre.
+	IsSummary bool
 }
 
 // received is the last report of a source.
 type received struct {
 	Source
-	at time.Time
-	// before are the counts of earlier processes.
-	before Tally
-	left   int
-	tally  Tally
+	receivedAt time.Time
+	// earlier are the counts of the sender's earlier processes.
+	earlier   Tally
+	undrained int
+	tally     Tally
 }
 
-// Report returns what this instance has to tell the others.
+// Report returns the report of this instance alone.
 func (r *Rollout) Report(now time.Time) Report {
-	return r.report(now, r.own.Clone(), r.left)
+	return r.report(now, r.local.Clone(), r.undrained)
 }
 
-// Summary returns what this instance and those that report to it have to tell others.
+// Summary returns the report of this instance and all instances that report to it.
 func (r *Rollout) Summary(now time.Time) Report {
-	t, left := r.own.Clone(), r.left
+	t, undrained := r.local.Clone(), r.undrained
 	for _, in := range r.instances {
-		t.Add(in.before)
+		t.Add(in.earlier)
 		t.Add(in.tally)
-		left += in.leftAt(now)
+		undrained += in.undrainedAt(now)
 	}
-	return r.report(now, t, left)
+	return r.report(now, t, undrained)
 }
 
-func (r *Rollout) report(now time.Time, t Tally, left int) Report {
-	out := Report{Service: r.order.Service, Order: r.order.ID(), Age: r.Age(now), Decision: r.decision, Why: r.why, Left: left, Tally: t}
+func (r *Rollout) report(now time.Time, t Tally, undrained int) Report {
+	out := Report{Service: r.order.Service, OrderID: r.order.ID(), Age: r.Age(now), Decision: r.decision, Reason: r.reason, Undrained: undrained, Tally: t}
 	if r.decision == Move {
-		out.Moving = now.Sub(r.movingAt)
+		out.MovingFor = now.Sub(r.movingAt)
 	}
 	return out
 }
 
-// Apply takes a report.
+// Apply takes a report of another instance. It ignores reports about other orders.
 func (r *Rollout) Apply(now time.Time, from Source, in *Report) {
-	if in.Order != r.order.ID() {
+	if in.OrderID != r.order.ID() {
 		return
 	}
 	r.dirty = true
-	if given := now.Add(-in.Age); given.Before(r.given) {
-		r.given = given
+	if orderedAt := now.Add(-in.Age); orderedAt.Before(r.orderedAt) {
+		r.orderedAt = orderedAt
 	}
 	switch in.Decision {
 	case RollBack:
-		r.rollBack(in.Why)
+		r.rollBack(in.Reason)
 	case Move:
-		r.move(now, in.Moving)
+		r.move(now, in.MovingFor)
 	}
-	if from.Sum {
-		r.applySum(now, from, in)
+	if from.IsSummary {
+		r.applySummary(now, from, in)
 		return
 	}
 	old := r.instances[from.Name]
-	n := &received{Source: from, at: now, before: Tally{}, tally: in.Tally, left: in.Left}
+	latest := &received{Source: from, receivedAt: now, earlier: Tally{}, tally: in.Tally, undrained: in.Undrained}
 	switch {
 	case old == nil:
 	case old.Process != from.Process:
-		n.before = old.before
-		n.before.Add(old.tally)
+		latest.earlier = old.earlier
+		latest.earlier.Add(old.tally)
 	default:
-		n.before = old.before
+		latest.earlier = old.earlier
 		if len(in.Tally) == 0 {
-			n.tally = old.tally // it tells a decision only
+			latest.tally = old.tally // the report carries only a decision
 		}
 	}
-	r.instances[from.Name] = n
+	r.instances[from.Name] = latest
 }
 
-// applySum takes the sums of a data centre. When another instance begins to sum up, it may know less of instances that are gone.
-func (r *Rollout) applySum(now time.Time, from Source, in *Report) {
-	old := r.sums[from.DataCentre]
+// applySummary takes the summary of a data centre. If another instance begins to send it, that one
+// may not know the counts of instances that are gone. So each count keeps at least its earlier
+// value.
+func (r *Rollout) applySummary(now time.Time, from Source, in *Report) {
+	old := r.summaries[from.DataCentre]
 	tally := in.Tally
 	if old != nil && old.Process != from.Process {
 		tally = tally.Clone()
 		tally.Max(old.tally)
 	}
-	r.sums[from.DataCentre] = &received{Source: from, at: now, tally: tally, left: in.Left}
-	if from.DataCentre == r.self {
+	r.summaries[from.DataCentre] = &received{Source: from, receivedAt: now, tally: tally, undrained: in.Undrained}
+	if from.DataCentre == r.dataCentre {
 		return
 	}
 	for name, i := range r.instances {
@@ -115,72 +118,76 @@
 	}
 }
 
-// reportTTL is how long a report counts as fresh: four times that between two.
+// reportTTL is how long a report counts as fresh. It is four times the interval between two
+// reports.
 const reportTTL = 2 * time.Second
 
-// leftAt is [Report.Left] of a source; what is gone has nothing left.
-func (in *received) leftAt(now time.Time) int {
-	if now.Sub(in.at) >= reportTTL {
+// undrainedAt returns [Report.Undrained] of a source. A source whose report is not fresh counts as
+// gone and has none.
+func (in *received) undrainedAt(now time.Time) int {
+	if now.Sub(in.receivedAt) >= reportTTL {
 		return 0
 	}
-	return in.left
+	return in.undrained
 }
 
-// Connected tells whether this instance hears what the others count: of each data centre the sum, or half of the instances. others
-// are those that are alive.
+// Connected reports whether this instance receives the counts of the others. Of each data centre it
+// needs a fresh summary, or fresh reports of at least half of the instances. others are the
+// instances that are alive.
 func (r *Rollout) Connected(now time.Time, others []Source) bool {
-	type heard struct{ all, heard int }
-	dataCentres := map[string]*heard{}
+	type reporters struct{ alive, fresh int }
+	dataCentres := map[string]*reporters{}
 	for _, o := range others {
 		h := dataCentres[o.DataCentre]
 		if h == nil {
-			h = &heard{}
+			h = &reporters{}
 			dataCentres[o.DataCentre] = h
 		}
-		h.all++
-		if in := r.instances[o.Name]; in != nil && now.Sub(in.at) < reportTTL {
-			h.heard++
+		h.alive++
+		if in := r.instances[o.Name]; in != nil && now.Sub(in.receivedAt) < reportTTL {
+			h.fresh++
 		}
 	}
 	for dc, h := range dataCentres {
-		sum := r.sums[dc]
-		if 2*h.heard < h.all && (sum == nil || now.Sub(sum.at) >= reportTTL) {
+		sum := r.summaries[dc]
+		if 2*h.fresh < h.alive && (sum == nil || now.Sub(sum.receivedAt) >= reportTTL) {
 			return false
 		}
 	}
 	return true
 }
 
-// totals returns the counts of all instances.
+// totals returns the counts of all instances. The summary of the own data centre covers the same
+// requests as the reports of its instances, so the higher count is used.
 func (r *Rollout) totals() Tally {
-	t := r.own.Clone()
+	t := r.local.Clone()
 	for _, in := range r.instances {
-		t.Add(in.before)
+		t.Add(in.earlier)
 		t.Add(in.tally)
 	}
-	for dc, in := range r.sums {
-		if dc == r.self {
+	for dc, in := range r.summaries {
+		if dc == r.dataCentre {
 			t.Max(in.tally)
 		}
 	}
-	for dc, in := range r.sums {
-		if dc != r.self {
+	for dc, in := range r.summaries {
+		if dc != r.dataCentre {
 			t.Add(in.tally)
 		}
 	}
 	return t
 }
 
-func (r *Rollout) leftEverywhere(now time.Time) int {
-	here, elsewhere := r.left, 0
+func (r *Rollout) undrainedTotal(now time.Time) int {
+	here, elsewhere := r.undrained, 0
 	for _, in := range r.instances {
-		here += in.leftAt(now)
+		here += in.undrainedAt(now)
 	}
-	for dc, in := range r.sums {
-		if dc == r.self {
-			here = max(here, in.leftAt(now))
+	for dc, in := range r.summaries {
+		if dc == r.dataCentre {
+			here = max(here, in.undrainedAt(now))
 		} else {
-			elsewhere += in.leftAt(now)
+			elsewhere += in.undrainedAt(now)
 		}
 	}
 	return here + elsewhere
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -4,99 +4,107 @@
 	"time"
 )
 
-// Decision is what instances have decided about an order.
+// Decision is what the instances have decided about an order. Its numeric values are sent between
+// instances.
 type Decision uint8
 
-// Decisions, each of which replaces those before.
+// A decision replaces only those listed before it.
 const (
 	// Undecided orders are in their canary phase.
 	Undecided Decision = iota
-	// Move: requests move to the target.
+	// Move means that requests move to the target.
 	Move
-	// RollBack: nothing more goes to the target.
+	// RollBack means that no more requests go to the target.
 	RollBack
 )
 
-// String returns the decision's name.
+// String returns the name that logs, metrics and operator tools show.
 func (d Decision) String() string { return [...]string{"canary", "move", "roll_back"}[d] }
 
-// Rollout is one order, as an instance sees it.
-
+// Rollout is one order as this instance sees it.
 type Rollout struct {
-	set   Settings
-	order Order
-	self  string // data centre of this instance
-	plan  schedule
-	// given is when the order was given, on this instance's clock, and began when this instance began to count.
-	given    time.Time
-	began    time.Time
-	state    State
-	decision Decision
-	why      string
-	movingAt time.Time
-	// left is this instance's own [Report.Left].
-	left      int
-	own       Tally
+	settings   Settings
+	order      Order
+	dataCentre string // of this instance
+	schedule   schedule
+	// orderedAt is when the order was given, on this instance's clock. countingSince is when this
+	// instance began to count requests, which is later if it started during the order.
+	orderedAt     time.Time
+	countingSince time.Time
+	state         State
+	decision      Decision
+	reason        string
+	movingAt      time.Time
+	// undrained is [Report.Undrained] of this instance alone.
+	undrained int
+	local     Tally
 	instances map[string]*received
-	sums      map[string]*received
-	// total, sent and judgement are kept until something changes.
+	summaries map[string]*received
+	// total, sent and judgement are cached until the counts change.
 	total     Tally
-	sent      volume
+	sent      sentCounts
 	judgement Judgement
 	judgedAt  time.Time
 	dirty     bool
-	// held is set once the target has failed so much that its canary pauses.
-	held bool
-	// manyAt is when the target had answered [Settings.ManyAnswers] requests; zero before.
-	manyAt time.Time
-	// past are earlier totals, the oldest first.
-	past      []snapshot
+	// paused is set once the target has failed too many requests in the canary. It is never
+	// cleared.
+	paused bool
+	// limitReachableAt is when the target had answered [Settings.BadAnswerLimit] requests, well or
+	// badly; zero before.
+	limitReachableAt time.Time
+	// snapshots are earlier totals, the oldest first.
+	snapshots []snapshot
 	endpoints Endpoints
 }
 
-// Endpoints is how many endpoints of each arm take requests.
+// Endpoints is the number of endpoints of each arm that take requests.
 type Endpoints struct{ Baseline, Target int }
 
-// New returns an order that was given some time ago. dataCentre is that of this instance.
+// New returns the rollout of an order that was given at now minus age. dataCentre is that of this
+// instance.
 func New(s Settings, o Order, now time.Time, age time.Duration, dataCentre string) *Rollout {
 	return &Rollout{
-		set: s, order: o, self: dataCentre, plan: s.schedule(o.Duration, 0), given: now.Add(-age), began: now,
-		own: Tally{}, instances: map[string]*received{}, sums: map[string]*received{}, dirty: true,
+		settings: s, order: o, dataCentre: dataCentre, schedule: s.schedule(o.Duration, 0), orderedAt: now.Add(-age), countingSince: now,
+		local: Tally{}, instances: map[string]*received{}, summaries: map[string]*received{}, dirty: true,
 	}
 }
 
-// Order returns the order.
+// Order returns the order that the rollout follows.
 func (r *Rollout) Order() Order { return r.order }
 
-// State returns the order's state in the store.
+// State returns the order's state in the store, as last set by [Rollout.SetState].
 func (r *Rollout) State() State { return r.state }
 
-// Decision returns what is decided, and why where the target is rolled back.
-func (r *Rollout) Decision() (Decision, string) { return r.decision, r.why }
+// Decision returns the decision, and the reason if the target is rolled back.
+func (r *Rollout) Decision() (Decision, string) { return r.decision, r.reason }
 
 // Age returns the time since the order was given.
-func (r *Rollout) Age(now time.Time) time.Duration { return now.Sub(r.given) }
+func (r *Rollout) Age(now time.Time) time.Duration { return now.Sub(r.orderedAt) }
 
-// Moving tells whether requests move to the target.
+// Moving reports whether requests move to the target.
 func (r *Rollout) Moving() bool { return r.decision == Move }
 
-// SetEndpoints says how many endpoints of each arm take requests.
+// SetEndpoints sets the number of endpoints of each arm that take requests.
 func (r *Rollout) SetEndpoints(e Endpoints) { r.endpoints = e }
 
-// SetSettle says how long requests at the baseline usually take until they end or can go on at the target.
-func (r *Rollout) SetSettle(d time.Duration) { r.plan = r.set.schedule(r.order.Duration, d) }
+// SetDrain sets how long a request at the baseline usually takes until it ends or can go on at the
+// target.
+func (r *Rollout) SetDrain(d time.Duration) { r.schedule = r.settings.schedule(r.order.Duration, d) }
 
-// SetLeft says how many requests of this instance are at the baseline that can't go on at the target.
-func (r *Rollout) SetLeft(n int) { r.left = n }
+// SetUndrained sets how many requests of this instance are at the baseline and can't go on at the
+// target.
+func (r *Rollout) SetUndrained(n int) { r.undrained = n }
 
-// Own returns the counts of this instance, to be added to.
-func (r *Rollout) Own(c Cell) *Counts {
+// LocalCounts returns this instance's counts of a cell, for the caller to add to. It overwrites
+// c.Moving with [Rollout.Moving].
+func (r *Rollout) LocalCounts(c Cell) *Counts {
 	c.Moving = r.Moving()
 	r.dirty = true
-	return r.own.At(c)
+	return r.local.At(c)
 }
 
-// SetState takes the order's state from the store. A final one never turns.
+// SetState sets the order's state as read from the store. A final state never changes, and earlier
+// states are ignored.
 func (r *Rollout) SetState(s State) {
 	if r.state.Final() || s < r.state {
 		return
@@ -107,96 +115,103 @@
 	}
 }
 
-func (r *Rollout) rollBack(why string) {
+func (r *Rollout) rollBack(reason string) {
 	if r.decision != RollBack {
-		r.decision, r.why = RollBack, why
+		r.decision, r.reason = RollBack, reason
 	}
 }
 
-func (r *Rollout) move(now time.Time, since time.Duration) {
+func (r *Rollout) move(now time.Time, elapsed time.Duration) {
 	if r.decision == Undecided {
-		r.decision, r.movingAt = Move, now.Add(-since)
+		r.decision, r.movingAt = Move, now.Add(-elapsed)
 	}
 }
 
-// UsualMost returns the time that all but a share of the baseline's requests take to the answer; 0 where that is not known.
-func (r *Rollout) UsualMost(now time.Time, share float64) time.Duration {
+// BaselineAnswerTime returns the time within which the baseline answers all but tailShare of its
+// requests. It returns 0 if no answer was counted.
+func (r *Rollout) BaselineAnswerTime(now time.Time, tailShare float64) time.Duration {
 	_, t := r.Judgement(now)
 	sum := Histogram{}
 	for cell, n := range t {
 		if cell.Arm == Baseline {
-			sum.add(&n.First)
+			sum.add(&n.AnswerTime)
 		}
 	}
 	if sum.Total() == 0 {
 		return 0
 	}
-	return upperOf(sum.tail(share))
+	return bucketUpperBound(sum.tailBucket(tailShare))
 }
 
-// judgeEvery is the least time between two judgements.
-const judgeEvery = 100 * time.Millisecond
+// judgeInterval is the least time between two judgements.
+const judgeInterval = 100 * time.Millisecond
 
-// A target that turns bad after a long time shows in its late requests first.
+// A target that turns bad late in an order has many good answers by then. Only a comparison of its
+// recent requests detects it soon.
 const (
-	// lately is how far back late requests go, at least.
-	lately = 4 * time.Second
-	// snapshotEvery is the time between two snapshots.
-	snapshotEvery = time.Second
+	// recentWindow is the least time that the recent requests span.
+	recentWindow = 4 * time.Second
+	// snapshotInterval is the least time between two snapshots.
+	snapshotInterval = time.Second
 )
 
-// snapshot is the total at an earlier time.
+// snapshot is the total of all instances at an earlier time.
 type snapshot struct {
 	at    time.Time
 	tally Tally
-	all   uint64 // requests of both arms
+	sent  uint64 // of both arms
 }
 
-// Judgement returns what is known of the target, from all its requests or the late ones, whichever speak more against it.
+// Judgement compares the target with the baseline, once over all requests and once over the recent
+// ones. It returns the judgement with more evidence against the target, and the total of all
+// instances.
 func (r *Rollout) Judgement(now time.Time) (Judgement, Tally) {
-	if r.total != nil && (!r.dirty || now.Sub(r.judgedAt) < judgeEvery) {
+	if r.total != nil && (!r.dirty || now.Sub(r.judgedAt) < judgeInterval) {
 		return r.judgement, r.total
 	}
 	r.total = r.totals()
-	r.sent = r.total.volume()
-	r.judgement = r.set.judge(r.total, r.set.Judge)
-	if past := r.before(now.Add(-lately)); past != nil {
-		late := r.set.judge(r.total.since(past), r.set.Judge.forLooks(int(r.order.Duration/lately)))
-		if late.Evidence-late.Needed > r.judgement.Evidence-r.judgement.Needed {
-			late.Answered, late.Failed = r.judgement.Answered, r.judgement.Failed
-			late.Excess = max(late.Excess, r.judgement.Excess)
-			r.judgement = late
+	r.sent = r.total.sentCounts()
+	r.judgement = r.settings.judge(r.total, r.settings.Judge)
+	if earlier := r.snapshotBefore(now.Add(-recentWindow)); earlier != nil {
+		recent := r.settings.judge(r.total.since(earlier), r.settings.Judge.forInterimTests(int(r.order.Duration/recentWindow)))
+		if recent.Evidence-recent.Threshold > r.judgement.Evidence-r.judgement.Threshold {
+			recent.Answered, recent.Failed = r.judgement.Answered, r.judgement.Failed
+			recent.Excess = max(recent.Excess, r.judgement.Excess)
+			r.judgement = recent
 		}
-		r.judgement.Excess = max(r.judgement.Excess, late.Excess)
+		r.judgement.Excess = max(r.judgement.Excess, recent.Excess)
 	}
 	r.judgedAt, r.dirty = now, false
-	r.remember(now)
+	r.addSnapshot(now)
 	return r.judgement, r.total
 }
 
-// before returns the newest snapshot that is as old as a time; nil when there is none.
-func (r *Rollout) before(at time.Time) Tally {
+// snapshotBefore returns the newest snapshot that was taken at or before a time. It returns nil if
+// there is none.
+func (r *Rollout) snapshotBefore(at time.Time) Tally {
 	var found Tally
-	for i := range r.past {
-		if !r.past[i].at.After(at) {
-			found = r.past[i].tally
+	for i := range r.snapshots {
+		if !r.snapshots[i].at.After(at) {
+			found = r.snapshots[i].tally
 		}
 	}
 	return found
 }
 
-// remember keeps a snapshot, and drops those that are older than needed.
-func (r *Rollout) remember(now time.Time) {
-	if n := len(r.past); n > 0 && now.Sub(r.past[n-1].at) < snapshotEvery {
+// addSnapshot stores the current total and drops snapshots that are no longer needed.
+func (r *Rollout) addSnapshot(now time.Time) {
+	if n := len(r.snapshots); n > 0 && now.Sub(r.snapshots[n-1].at) < snapshotInterval {
 		return
 	}
-	r.past = append(r.past, snapshot{now, r.total, r.sent.all()})
-	for len(r.past) > 1 && now.Sub(r.past[1].at) >= lately {
-		r.past = r.past[1:]
+	r.snapshots = append(r.snapshots, snapshot{now, r.total, r.sent.total()})
+	for len(r.snapshots) > 1 && now.Sub(r.snapshots[1].at) >= recentWindow {
+		r.snapshots = r.snapshots[1:]
 	}
 }
 
-// Tick brings decisions up to date. informed tells that this instance would know of a roll-back: it hears the store or the others.
+// Tick updates the decision. informed tells whether this instance would learn of a roll-back,
+// either from the store or from its peers. An uninformed instance still rolls back a bad target, but
+// it starts no move and does not roll back at the deadline.
 func (r *Rollout) Tick(now time.Time, informed bool) {
 	if r.state.Final() || r.decision == RollBack {
 		return
@@ -205,12 +220,12 @@
 	age := r.Age(now)
 	switch {
 	case j.Bad:
-		r.rollBack(j.Why)
-	case r.decision == Move || age < r.plan.move || !informed:
+		r.rollBack(j.Reason)
+	case r.decision == Move || age < r.schedule.earliestMove || !informed:
 	case r.endpoints.Target > 0 && r.endpoints.Baseline == 0:
-		r.move(now, 0) // there is nothing to move, and nothing to go back to
-	case age < r.plan.lastMove && r.proved(now, &j):
-		if r.affordsMove(now) {
+		r.move(now, 0) // no request is at the baseline, and there is nothing to roll back to
+	case age < r.schedule.latestMove && r.goodEnough(now, &j):
+		if r.moveWithinBound(now) {
 			r.move(now, 0)
 		}
 	case age >= r.order.Duration:
@@ -218,42 +233,46 @@
 	}
 }
 
-// proved tells whether a target is good enough for all requests.
-func (r *Rollout) proved(now time.Time, j *Judgement) bool {
-	if r.held || r.endpoints.Target == 0 || j.Compared && j.Evidence >= r.set.Unsure {
+// goodEnough reports whether the target may get all requests.
+func (r *Rollout) goodEnough(now time.Time, j *Judgement) bool {
+	if r.paused || r.endpoints.Target == 0 || j.Compared && j.Evidence >= r.settings.MaxMoveEvidence {
 		return false
 	}
-	if j.Answered >= r.set.MinAnswers {
+	if j.Answered >= r.settings.MinAnswers {
 		return true
 	}
-	// A quiet service moves on few answers, unless they may be few since the counts were lost with all instances.
-	return r.sent.all() <= r.set.MinAnswers && now.Sub(r.began) >= r.plan.move/quietParts
+	// With little traffic a few answers are enough. Counts may also be low because all instances
+	// restarted and lost them. So this instance must have counted for a while itself.
+	return r.sent.total() <= r.settings.MinAnswers && now.Sub(r.countingSince) >= r.schedule.earliestMove/quietDivisor
 }
 
-// quietParts: a service is known to be quiet after one part in so many of a canary.
-const quietParts = 2
+// quietDivisor: an instance takes a service for one with little traffic only after it has counted
+// for 1/quietDivisor of the canary phase.
+const quietDivisor = 2
 
-// Due returns the state that is to be written to the store now.
-func (r *Rollout) Due(now time.Time) (State, bool) {
+// PendingState returns the state that is to be written to the store now. It returns false if there
+// is nothing to write.
+func (r *Rollout) PendingState(now time.Time) (State, bool) {
 	switch {
 	case r.state.Final():
 		return r.state, false
 	case r.decision == RollBack:
 		return RolledBack, true
-	case r.decision == Move && r.settled(now):
+	case r.decision == Move && r.canComplete(now):
 		return Completed, true
 	}
 	return Running, r.state == Ordered
 }
 
-// settled tells whether the baseline can be stopped: nothing is left there, or there is no time left.
-func (r *Rollout) settled(now time.Time) bool {
-	if r.endpoints.Target == 0 || now.Sub(r.movingAt) < r.set.Ramp+r.set.Settle {
+// canComplete reports whether the baseline can be stopped. No request is left there, or there is no
+// time left to wait for it. The target also has to stay within its exposure bound.
+func (r *Rollout) canComplete(now time.Time) bool {
+	if r.endpoints.Target == 0 || now.Sub(r.movingAt) < r.settings.Ramp+r.settings.MinDrain {
 		return false
 	}
 	age := r.Age(now)
-	if !r.affordsCompletion(now) {
+	if !r.completionWithinBound(now) {
 		return false
 	}
-	return age >= r.plan.complete && r.leftEverywhere(now) == 0 || age >= r.plan.last
+	return age >= r.schedule.earliestCompletion && r.undrainedTotal(now) == 0 || age >= r.schedule.latestCompletion
 }
--- a/gateway/exchange/rollouts.go
+++ b/gateway/exchange/rollouts.go
@@ -91,7 +91,7 @@
 	if d.Instance == "" || d.DataCentre == "" || d.Instance == x.Self.ID || x.Rollouts == nil {
 		return
 	}
-	from := rollout.Source{Name: d.Instance, DataCentre: d.DataCentre, Process: d.Process, Sum: d.Sum}
+	from := rollout.Source{Name: d.Instance, DataCentre: d.DataCentre, Process: d.Process, IsSummary: d.Sum}
 	x.Rollouts.Apply(from, rollouts.DecodeReports(d.Reports))
 	if r := x.roster(); d.Sum && d.DataCentre != x.Self.DataCentre && r.sumsUp() {
 		x.sendRaw(raw, r.inDataCentre(x.Self.DataCentre)...)
--- a/gateway/front/rollouts.go
+++ b/gateway/front/rollouts.go
@@ -17,7 +17,7 @@
 		return
 	}
 	s := rollout.DefaultSettings()
-	s.Share, s.Reserve, s.RollBack = set.Share, set.Reserve, set.RollBack
+	s.ExposureShare, s.ExposureReserve, s.MaxRollBackDelay = set.Share, set.Reserve, set.RollBack
 	f.rollouts = rollouts.New(rollouts.Options{
 		Settings: s, Self: f.settings.Instance.ID, DataCentre: f.settings.Instance.DataCentre, Store: f.store,
 		Others:   func() []rollout.Source { return f.exchange.RolloutSources() },
--- a/gateway/rollouts/codec.go
+++ b/gateway/rollouts/codec.go
@@ -12,8 +12,8 @@
 	for i := range reports {
 		r := &reports[i]
 		out[i] = &peerv1.RolloutReport{
-			Service: r.Service, Order: r.Order, Age: clock.EncodeAge(r.Age), Decision: peerv1.RolloutDecision(r.Decision), Why: r.Why,
-			Moving: clock.EncodeAge(r.Moving), Left: uint32(max(r.Left, 0)),
+			Service: r.Service, Order: r.OrderID, Age: clock.EncodeAge(r.Age), Decision: peerv1.RolloutDecision(r.Decision), Why: r.Reason,
+			Moving: clock.EncodeAge(r.MovingFor), Left: uint32(max(r.Undrained, 0)),
 		}
 		for cell, c := range r.Tally {
 			out[i].Cells = append(out[i].Cells, encodeCell(cell, c))
@@ -27,8 +27,8 @@
 		Route: cell.Route, Target: cell.Arm == rollout.Target, Group: uint32(cell.Group), Moving: cell.Moving,
 		Sent: c.Sent, Answered: c.Answered, Failed: c.Failed, Lost: c.Lost,
 	}
-	out.FirstFrom, out.First = encodeHistogram(&c.First)
-	out.GapFrom, out.Gap = encodeHistogram(&c.Gap)
+	out.FirstFrom, out.First = encodeHistogram(&c.AnswerTime)
+	out.GapFrom, out.Gap = encodeHistogram(&c.EventGap)
 	return out
 }
 
@@ -54,8 +54,8 @@
 			continue
 		}
 		in := rollout.Report{
-			Service: r.Service, Order: r.Order, Age: clock.DecodeAge(r.Age), Decision: rollout.Decision(r.Decision), Why: r.Why,
-			Moving: clock.DecodeAge(r.Moving), Left: int(r.Left), Tally: rollout.Tally{},
+			Service: r.Service, OrderID: r.Order, Age: clock.DecodeAge(r.Age), Decision: rollout.Decision(r.Decision), Reason: r.Why,
+			MovingFor: clock.DecodeAge(r.Moving), Undrained: int(r.Left), Tally: rollout.Tally{},
 		}
 		for _, c := range r.Cells {
 			if c != nil {
@@ -75,7 +75,7 @@
 	}
 	return cell, rollout.Counts{
 		Sent: c.Sent, Answered: c.Answered, Failed: c.Failed, Lost: c.Lost,
-		First: decodeHistogram(c.FirstFrom, c.First), Gap: decodeHistogram(c.GapFrom, c.Gap),
+		AnswerTime: decodeHistogram(c.FirstFrom, c.First), EventGap: decodeHistogram(c.GapFrom, c.Gap),
 	}
 }
 
--- a/gateway/rollouts/codec_test.go
+++ b/gateway/rollouts/codec_test.go
@@ -20,18 +20,18 @@
 		for i := range 2000 {
 			base.Sent++
 			base.Answered++
-			base.First.Observe(time.Duration(5+i%60) * time.Millisecond)
+			base.AnswerTime.Observe(time.Duration(5+i%60) * time.Millisecond)
 		}
 		for g := range 12 {
 			c := tally.At(rollout.Cell{Route: route, Arm: rollout.Target, Group: uint8(g)})
 			c.Sent, c.Answered, c.Failed = 30, 28, 2
 			for i := range 28 {
-				c.First.Observe(time.Duration(8+2*i) * time.Millisecond)
+				c.AnswerTime.Observe(time.Duration(8+2*i) * time.Millisecond)
 			}
 		}
 	}
 	in := []rollout.Report{{
-		Service: "s", Order: "7/v2/12000", Age: 3 * time.Second, Decision: rollout.RollBack, Why: "failures", Left: 3, Tally: tally,
+		Service: "s", OrderID: "7/v2/12000", Age: 3 * time.Second, Decision: rollout.RollBack, Reason: "failures", Undrained: 3, Tally: tally,
 	}}
 	encoded := EncodeReports(in)
 	assert.DeepEqual(t, DecodeReports(encoded), in)
@@ -42,7 +42,7 @@
 // FuzzDecodeReports: whatever comes, decoding ends and bounds what it believes.
 func FuzzDecodeReports(f *testing.F) {
 	raw, err := proto.Marshal(&peerv1.Rollouts{Reports: EncodeReports([]rollout.Report{{
-		Service: "s", Order: "o", Tally: rollout.Tally{{Route: "r"}: {Sent: 1}},
+		Service: "s", OrderID: "o", Tally: rollout.Tally{{Route: "r"}: {Sent: 1}},
 	}})})
 	assert.NilError(f, err)
 	f.Add(raw)
--- a/gateway/rollouts/rollouts.go
+++ b/gateway/rollouts/rollouts.go
@@ -119,7 +119,7 @@
 // informed tells that this instance would know of a roll-back: the orders were read a short while ago, or the others are heard. The
 // caller holds mu.
 func (r *Register) informed(s *service, now time.Time) bool {
-	if age, known := r.ProofAge(); known && age < r.Settings.RollBack/informedParts {
+	if age, known := r.ProofAge(); known && age < r.Settings.MaxRollBackDelay/informedParts {
 		return true
 	}
 	return s.order.Connected(now, r.Others())
@@ -227,7 +227,7 @@
 	}
 	for name, of := range builds {
 		s := r.service(name)
-		s.builds.Listed(now, of, r.proved, s.target(), s.state())
+		s.builds.Update(now, of, r.proved, s.target(), s.state())
 	}
 	var out []routing.Endpoint
 	for i := range all {
@@ -245,7 +245,7 @@
 // waiting tells whether the endpoints have to be listed again because of time alone. The caller holds mu.
 func (r *Register) waiting() bool {
 	for _, s := range r.services {
-		if s.builds.Waiting() {
+		if s.builds.ChangesWithTime() {
 			return true
 		}
 	}
--- a/gateway/rollouts/run.go
+++ b/gateway/rollouts/run.go
@@ -63,8 +63,8 @@
 			continue
 		}
 		wait = tickEvery
-		s.order.SetLeft(s.open)
-		s.order.SetSettle(r.settle(s, now))
+		s.order.SetUndrained(s.open)
+		s.order.SetDrain(r.settle(s, now))
 		s.order.Tick(now, r.informed(s, now))
 		if r.logDecision(s, now) {
 			told, relist = true, true
@@ -86,7 +86,7 @@
 	if d := r.Settle(s.name); d > 0 {
 		return d
 	}
-	return s.order.UsualMost(now, settleShare)
+	return s.order.BaselineAnswerTime(now, settleShare)
 }
 
 // logDecision logs a decision that is new; it returns false when none is.
@@ -100,7 +100,7 @@
 	base, target := t.Sent()
 	r.Log.WithFields(logrus.Fields{
 		"service": s.name, "target": s.target(), "decision": d.String(), "why": why, "age_ms": s.order.Age(now).Milliseconds(),
-		"evidence": j.Evidence, "needed": j.Needed, "answered": j.Answered, "failed": j.Failed, "exposed": target, "baseline": base,
+		"evidence": j.Evidence, "needed": j.Threshold, "answered": j.Answered, "failed": j.Failed, "exposed": target, "baseline": base,
 	}).Warn("rollout decided")
 	r.metrics.decided(d)
 	return true
@@ -108,7 +108,7 @@
 
 // due returns the outcome that this instance is to write now. The others wait for those before them, by hash.
 func (r *Register) due(s *service, now time.Time) (outcome, bool) {
-	state, due := s.order.Due(now)
+	state, due := s.order.PendingState(now)
 	if !due {
 		s.writeAt = time.Time{}
 		return outcome{}, false
--- a/gateway/rollouts/state.go
+++ b/gateway/rollouts/state.go
@@ -49,7 +49,7 @@
 		out = append(out, State{
 			Service: s.name, Target: o.Target, State: s.state().String(), Decision: decision.String(), Why: why,
 			AgeMS: s.order.Age(now).Milliseconds(), DurationMS: o.Duration.Milliseconds(),
-			Baseline: base, Exposed: target, Answered: j.Answered, Failed: j.Failed, Evidence: j.Evidence, Needed: j.Needed, Left: s.open,
+			Baseline: base, Exposed: target, Answered: j.Answered, Failed: j.Failed, Evidence: j.Evidence, Needed: j.Threshold, Left: s.open,
 		})
 	}
 	slices.SortFunc(out, func(a, b State) int { return strings.Compare(a.Service, b.Service) })
--- a/gateway/rollouts/trial.go
+++ b/gateway/rollouts/trial.go
@@ -41,7 +41,7 @@
 }
 
 // counts returns the counts to be changed. The caller holds mu.
-func (t *Trial) counts() *rollout.Counts { return t.order.Own(t.cell) }
+func (t *Trial) counts() *rollout.Counts { return t.order.LocalCounts(t.cell) }
 
 // change locks the register around a change of the counts.
 func (t *Trial) change(f func(c *rollout.Counts)) {
@@ -92,12 +92,12 @@
 		return
 	}
 	t.first = true
-	c.First.Observe(took)
+	c.AnswerTime.Observe(took)
 }
 
 // Gap counts the time between two events.
 func (t *Trial) Gap(d time.Duration) {
-	t.change(func(c *rollout.Counts) { c.Gap.Observe(d) })
+	t.change(func(c *rollout.Counts) { c.EventGap.Observe(d) })
 }
 
 // Failed counts an endpoint's own failure.
