--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -10,7 +10,7 @@
 // BucketCount is the number of buckets of a digest.
 const BucketCount = 64
 
-// ID names an object.
+// ID identifies an object.
 type ID struct{ Kind, Name string }
 
 // Record is one version of an object.
@@ -21,7 +21,7 @@
 	Deleted bool
 }
 
-// Store holds the highest version seen of each object.
+// Store holds the highest version seen of each object, deleted ones included.
 type Store struct {
 	records map[ID]Record
 	buckets [BucketCount]uint64
@@ -31,7 +31,8 @@
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{records: map[ID]Record{}} }
 
-// Apply takes a record if it is newer than what is held, and tells whether it did.
+// Apply takes a record if it is newer than the one held, and reports whether it did. Versions start
+// at 1; a record of version 0 is never taken.
 func (s *Store) Apply(r Record) bool {
 	old, held := s.records[r.ID]
 	if held && r.Version <= old.Version {
@@ -45,14 +46,14 @@
 	}
 	b := bucket(r.ID)
 	if held {
-		s.buckets[b] ^= fingerprint(old)
+		s.buckets[b] ^= recordHash(old)
 	}
-	s.buckets[b] ^= fingerprint(r)
+	s.buckets[b] ^= recordHash(r)
 	s.records[r.ID] = r
 	return true
 }
 
-// Get returns the object's record; a deleted object is not returned.
+// Get returns the record of an object. It returns false if the object is unknown or deleted.
 func (s *Store) Get(id ID) (Record, bool) {
 	r, ok := s.records[id]
 	if !ok || r.Deleted {
@@ -61,10 +62,10 @@
 	return r, true
 }
 
-// Version returns the version held, also of a deleted object; 0 for none.
+// Version returns the version held of an object, also if it is deleted; 0 if the object is unknown.
 func (s *Store) Version(id ID) uint64 { return s.records[id].Version }
 
-// List returns the records of a kind by name, without deleted ones.
+// List returns the records of a kind, sorted by name, without deleted ones.
 func (s *Store) List(kind string) []Record {
 	var out []Record
 	for id, r := range s.records {
@@ -79,10 +80,10 @@
 // Len returns the number of records, deleted ones included.
 func (s *Store) Len() int { return len(s.records) }
 
-// Stale returns how many records were offered that were older than the one held.
+// Stale returns how many of the records passed to [Store.Apply] were older than the one held.
 func (s *Store) Stale() uint64 { return s.stale }
 
-// Digest returns one number for all versions held; 0 for an empty store.
+// Digest returns a hash of all versions held; 0 for an empty store.
 func (s *Store) Digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -99,16 +100,16 @@
 	return d.Sum64()
 }
 
-// Buckets returns a digest for each bucket.
+// Buckets returns the digest of each bucket.
 func (s *Store) Buckets() []uint64 { return append([]uint64(nil), s.buckets[:]...) }
 
-// Differing returns the records in the buckets whose digest differs from another
-// store's. A list of the wrong length stands for an empty store.
-func (s *Store) Differing(theirs []uint64) []Record {
+// Differing returns the records in the buckets whose digests differ from those of another store,
+// sorted by kind and name. It returns all records if remoteBuckets has the wrong length.
+func (s *Store) Differing(remoteBuckets []uint64) []Record {
 	var out []Record
 	for id, r := range s.records {
 		b := bucket(id)
-		if len(theirs) != BucketCount || theirs[b] != s.buckets[b] {
+		if len(remoteBuckets) != BucketCount || remoteBuckets[b] != s.buckets[b] {
 			out = append(out, r)
 		}
 	}
@@ -125,7 +126,7 @@
 	return int(xxhash.Sum64String(id.Kind+"\x00"+id.Name) % BucketCount)
 }
 
-func fingerprint(r Record) uint64 {
+func recordHash(r Record) uint64 {
 	var v [8]byte
 	binary.LittleEndian.PutUint64(v[:], r.Version)
 	var d xxhash.Digest
--- a/core/revision/store_test.go
+++ b/core/revision/store_test.go
@@ -12,7 +12,7 @@
 	return Record{ID: ID{"deployment", name}, Version: version, Value: fmt.Appendf(nil, "%s-%d", name, version)}
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestApplyRejectsOlderVersions(t *testing.T) {
 	s := NewStore()
 	assert.Assert(t, s.Apply(record("a", 3)))
 	assert.Assert(t, !s.Apply(record("a", 2)))
@@ -24,12 +24,12 @@
 	assert.Equal(t, s.Stale(), uint64(1))
 }
 
-func TestDeletedObjectsDoNotComeBack(t *testing.T) {
+func TestOldRecordDoesNotRestoreDeletedObject(t *testing.T) {
 	s := NewStore()
 	s.Apply(record("a", 1))
-	gone := record("a", 2)
-	gone.Deleted = true
-	assert.Assert(t, s.Apply(gone))
+	deleted := record("a", 2)
+	deleted.Deleted = true
+	assert.Assert(t, s.Apply(deleted))
 	assert.Assert(t, !s.Apply(record("a", 1)))
 	_, ok := s.Get(ID{"deployment", "a"})
 	assert.Assert(t, !ok)
@@ -38,9 +38,9 @@
 	assert.Assert(t, s.Apply(record("a", 3)))
 }
 
-// TestStoresMeetWhateverTheOrder exchanges records in random order, with repeats, through
-// the bucket digests.
-func TestStoresMeetWhateverTheOrder(t *testing.T) {
+// TestStoresConvergeInAnyOrder applies records in random order, with repeats, to two stores. After
+// an exchange of the differing buckets both hold the same versions.
+func TestStoresConvergeInAnyOrder(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	a, b := NewStore(), NewStore()
 	for range 2000 {
@@ -63,7 +63,7 @@
 	assert.Equal(t, len(a.Differing(b.Buckets())), 0)
 }
 
-func TestExchangeFollowsTheDifference(t *testing.T) {
+func TestDifferingReturnsOnlyDifferingBuckets(t *testing.T) {
 	a, b := NewStore(), NewStore()
 	const objects = 19000
 	for i := range objects {
--- a/gateway/follow/configuration.go
+++ b/gateway/follow/configuration.go
@@ -20,7 +20,7 @@
 
 	mu    sync.Mutex
 	table *route.Table
-	proof revision.Proof
+	proof revision.Freshness
 }
 
 // NewConfiguration returns a follower that knows nothing yet. The proof grows as old as a watch waits in
--- a/gateway/follow/mirror.go
+++ b/gateway/follow/mirror.go
@@ -31,7 +31,7 @@
 	removed  []string                   // oldest first
 	revision uint64
 	oldest   uint64 // removals up to here are forgotten
-	proof    revision.Proof
+	proof    revision.Freshness
 	changed  chan struct{} // closed when there is anything new
 }
 
--- a/gateway/follow/rollouts.go
+++ b/gateway/follow/rollouts.go
@@ -17,7 +17,7 @@
 
 	mu     sync.Mutex
 	orders map[string]platform.Rollout
-	proof  revision.Proof
+	proof  revision.Freshness
 }
 
 // NewRollouts returns a follower that knows nothing yet. changes is called with all orders after each answer, also where nothing has
