--- a/core/crashers/crashers.go
+++ b/core/crashers/crashers.go
@@ -4,30 +4,30 @@
 	"time"
 )
 
-// Request names a request that may come again.
+// Request identifies all attempts of one request, whatever their ids.
 type Request struct {
-	// Team is who sends it; empty on public routes.
+	// Team is the team that sends it; empty on public routes.
 	Team string
-	// Content is a hash of what it asks for.
-	Content Content
+	// Content is a hash of everything that it asks for.
+	Content ContentHash
 }
 
-// Sign says how far an endpoint was with a request when it ended.
-type Sign uint8
+// Phase says how far an endpoint was with a request when it crashed. Zero is not a phase.
+type Phase uint8
 
-// Signs. Their values are sent between instances; [Sign.weight] orders them.
+// Phases. Their values are sent between instances and don't order them; see [Phase.strength].
 const (
-	// Present: it had the request, and may not have begun to run it.
-	Present Sign = iota + 1
-	// Begun: its answer had begun a moment before.
+	// Present: the endpoint had the request and may not have begun to run it.
+	Present Phase = iota + 1
+	// Begun: the answer had begun a moment before.
 	Begun
-	// Late: it had been answering for a while.
+	// Late: the endpoint had been answering for a while.
 	Late
 )
 
-// weight orders signs by how much they say.
-func (s Sign) weight() int {
-	switch s {
+// strength ranks phases by how strongly a crash implicates the request; 0 for an unknown phase.
+func (p Phase) strength() int {
+	switch p {
 	case Begun:
 		return 3
 	case Present:
@@ -38,103 +38,111 @@
 	return 0
 }
 
-// End is the end of an endpoint that had a request.
-type End struct {
-	// Endpoint is the incarnation that ended.
+// Crash records that an endpoint crashed while it had a request.
+type Crash struct {
+	// Endpoint is the id of the incarnation that crashed.
 	Endpoint string
-	// Service is what the endpoint belongs to.
+	// Service is the service of the endpoint.
 	Service string
-	Sign    Sign
-	// Sent is when the request was sent there, and At when the endpoint ended.
+	Phase   Phase
+	// Sent is when the request was sent to the endpoint, and At when the endpoint crashed.
 	Sent, At time.Time
 }
 
-// Verdict says what may be done with a request.
+// Verdict says how a request may be sent. Higher values are stricter.
 type Verdict uint8
 
 // Verdicts.
 const (
-	// Free: nothing is held against it.
+	// Free: no crash counts against it.
 	Free Verdict = iota
-	// Suspect: endpoints ended under it.
+	// Suspect: crashes count against it, and it is sent as usual.
 	Suspect
-	// Careful: it had begun at an endpoint that ended, or one more end stops it, so it is tried by one instance at a time.
+	// Careful: it is tried by one instance at a time, since it had begun at a crashed endpoint, one
+	// more crash stops it, or its team sends many harmful requests.
 	Careful
 	// Stopped: it is not sent to any endpoint.
 	Stopped
 )
 
-// String returns the verdict's name, for logs.
+// String returns the name of the verdict, as operator tools, logs and metrics show it.
 func (v Verdict) String() string {
 	return [...]string{"free", "suspect", "careful", "stopped"}[v]
 }
 
-// Settings of a register. The zero value is not usable; see [DefaultSettings].
+// Settings configure a [Registry]. The zero value is not usable; see [DefaultSettings].
 type Settings struct {
-	// Ends is how many endpoints may end under a request before it is stopped, LateEnds how many where late ones count as well.
-	Ends, LateEnds int
-	// Moment is how far apart ends may be that count as one, where the request was at both endpoints at once.
-	Moment time.Duration
-	// Keep is how long an end counts.
-	Keep time.Duration
-	// StopFirst is how long a request is stopped; each time after that twice as long, up to StopMost.
-	StopFirst, StopMost time.Duration
-	// TrialMost is how long a trial counts whose end is not heard.
-	TrialMost time.Duration
-	// PerTeam and Most bound the requests in a register.
-	PerTeam, Most int
-	// Harmful is how many requests of a team that had begun where an endpoint of a service ended, within HarmfulWithin, make each
-	// other one to that service be handled with care, one of the team at a time, and one end at which it had begun
-	// enough to stop it.
-	Harmful       int
-	HarmfulWithin time.Duration
+	// CrashThreshold is the number of incidents that stop a request, not counting late crashes.
+	// LateCrashThreshold is the number of incidents that stop it if late crashes are counted too.
+	CrashThreshold, LateCrashThreshold int
+	// CoincidenceWindow is how far apart crashes may be to count as one incident, if both endpoints
+	// had the request at the same time.
+	CoincidenceWindow time.Duration
+	// Retention is how long a crash counts.
+	Retention time.Duration
+	// MinStop is how long a request is stopped the first time. Each further stop is twice as long,
+	// up to MaxStop.
+	MinStop, MaxStop time.Duration
+	// TrialTimeout is how long a trial blocks others if its end is never reported.
+	TrialTimeout time.Duration
+	// MaxPerTeam and MaxRequests bound the requests in a registry.
+	MaxPerTeam, MaxRequests int
+	// HarmfulThreshold is the number of requests that make a team harmful to a service: requests
+	// that had begun at an endpoint of the service that crashed within HarmfulWindow. Requests of a
+	// harmful team that have not been served yet are tried one at a time, and one Begun crash stops
+	// a request.
+	HarmfulThreshold int
+	HarmfulWindow    time.Duration
 }
 
-// DefaultSettings returns the usual settings. A request is stopped for about as long as it takes an operator to look at it; an
-// hour of ends finds out one that comes a few times an hour.
+// DefaultSettings returns the settings used by the daemon. The first stop lasts about as long as an
+// operator takes to look at the request. Crashes count for an hour, so that a request that comes a
+// few times an hour is detected.
 func DefaultSettings() Settings {
 	return Settings{
-		Ends: 3, LateEnds: 5, Moment: 300 * time.Millisecond, Keep: time.Hour,
-		StopFirst: 10 * time.Minute, StopMost: 4 * time.Hour, TrialMost: 30 * time.Second,
-		PerTeam: 64, Most: 1024, Harmful: 4, HarmfulWithin: 30 * time.Second,
+		CrashThreshold: 3, LateCrashThreshold: 5, CoincidenceWindow: 300 * time.Millisecond, Retention: time.Hour,
+		MinStop: 10 * time.Minute, MaxStop: 4 * time.Hour, TrialTimeout: 30 * time.Second,
+		MaxPerTeam: 64, MaxRequests: 1024, HarmfulThreshold: 4, HarmfulWindow: 30 * time.Second,
 	}
 }
 
-// Register is what one instance knows of requests that end endpoints.
-type Register struct {
+// Registry holds what one instance knows of requests that crash endpoints.
+type Registry struct {
 	set     Settings
 	entries map[Request]*entry
-	// ended are the endpoints that ended, each with the requests that were there.
-	ended map[string]map[Request]bool
-	teams map[string]int // entries by team
+	// byEndpoint maps each crashed endpoint to the requests that it had.
+	byEndpoint map[string]map[Request]bool
+	teamSizes  map[string]int // number of entries by team
 }
 
-// entry is what is known of a request.
+// entry is what is known of one request.
 type entry struct {
-	service string // whose endpoints ended
-	ends    []End
-	cleared time.Time
-	stop    Stop
-	trials  map[string]time.Time // by who tries it, with the time from which on that counts no more
+	service   string // of the endpoints that crashed, or of the last trial
+	crashes   []Crash
+	clearedAt time.Time // crashes up to this time don't count; zero if never cleared
+	stop      Stop
+	trials    map[string]time.Time // when each trial expires, by instance
 }
 
-// Stop is the stopping of a request.
+// Stop says when and for how long a request is stopped. The zero value means that it has not been
+// stopped since it was cleared last.
 type Stop struct {
-	// At is when it was stopped last, and Until for how long.
+	// At is when it was stopped last, and Until is when that stop expires.
 	At, Until time.Time
-	// Times is how often it was stopped since it was served last.
-	Times int
-	// Stored tells that the stop is known to be kept where it outlasts all instances.
+	// Count is how often it was stopped since it was cleared last.
+	Count int
+	// Stored reports whether the stop is known to be in the platform's store, where it outlives all
+	// instances.
 	Stored bool
 }
 
-// New returns an empty register.
-func New(s Settings) *Register {
-	return &Register{set: s, entries: map[Request]*entry{}, ended: map[string]map[Request]bool{}, teams: map[string]int{}}
+// New returns an empty registry.
+func New(s Settings) *Registry {
+	return &Registry{set: s, entries: map[Request]*entry{}, byEndpoint: map[string]map[Request]bool{}, teamSizes: map[string]int{}}
 }
 
-// Len returns how many requests the register holds, and how many of them are stopped.
-func (r *Register) Len(now time.Time) (all, stopped int) {
+// Len returns the number of requests in the registry, and how many of them are stopped.
+func (r *Registry) Len(now time.Time) (all, stopped int) {
 	for _, e := range r.entries {
 		if e.stopped(now) {
 			stopped++
--- /dev/null
+++ b/core/crashers/crashes.go
@@ -0,0 +1,198 @@
+package crashers
+
+import (
+	"slices"
+	"time"
+)
+
+// RecordCrash records that an endpoint crashed while it had a request. It returns true if that
+// stops the request, which was not stopped before.
+func (r *Registry) RecordCrash(now time.Time, req Request, crash Crash) bool {
+	wasStopped := r.isStopped(now, req)
+	r.addCrash(now, req, crash)
+	return r.stopIfNeeded(now, req) && !wasStopped
+}
+
+func (r *Registry) isStopped(now time.Time, req Request) bool {
+	e := r.entries[req]
+	return e != nil && e.stopped(now)
+}
+
+func (e *entry) stopped(now time.Time) bool { return now.Before(e.stop.Until) }
+
+// addCrash adds a crash to a request, once for each endpoint; of repeated ones the strongest phase
+// counts. It ignores crashes that have expired or are not later than the last clearing.
+func (r *Registry) addCrash(now time.Time, req Request, crash Crash) {
+	if now.Sub(crash.At) >= r.set.Retention {
+		return
+	}
+	e := r.getOrCreate(now, req)
+	if e == nil || !crash.At.After(e.clearedAt) {
+		return
+	}
+	e.service = crash.Service
+	r.linkEndpoint(req, &crash)
+	for i := range e.crashes {
+		if e.crashes[i].Endpoint == crash.Endpoint {
+			if crash.Phase.strength() > e.crashes[i].Phase.strength() {
+				e.crashes[i].Phase = crash.Phase
+			}
+			return
+		}
+	}
+	e.crashes = append(e.crashes, crash)
+	for len(e.crashes) > historyFactor*r.set.CrashThreshold {
+		r.unlinkEndpoint(req, &e.crashes[0])
+		e.crashes = e.crashes[1:]
+	}
+}
+
+// historyFactor times [Settings.CrashThreshold] is the number of crashes that are remembered for a
+// request.
+const historyFactor = 4
+
+// linkEndpoint records in the index of crashed endpoints that this one had the request.
+func (r *Registry) linkEndpoint(req Request, crash *Crash) {
+	if r.byEndpoint[crash.Endpoint] == nil {
+		r.byEndpoint[crash.Endpoint] = map[Request]bool{}
+	}
+	r.byEndpoint[crash.Endpoint][req] = true
+}
+
+// unlinkEndpoint removes the request from the index of crashed endpoints.
+func (r *Registry) unlinkEndpoint(req Request, crash *Crash) {
+	delete(r.byEndpoint[crash.Endpoint], req)
+	if len(r.byEndpoint[crash.Endpoint]) == 0 {
+		delete(r.byEndpoint, crash.Endpoint)
+	}
+}
+
+// stopIfNeeded stops a request that has enough crashes, and reports whether it is stopped now.
+func (r *Registry) stopIfNeeded(now time.Time, req Request) bool {
+	e := r.entries[req]
+	if e == nil {
+		return false
+	}
+	if e.stopped(now) {
+		return true
+	}
+	if missing, _ := r.evaluate(now, req, e); missing > 0 {
+		return false
+	}
+	count := e.stop.Count + 1
+	e.stop = Stop{At: now, Until: now.Add(r.stopDuration(count)), Count: count}
+	return true
+}
+
+// stopDuration returns how long the count-th stop of a request lasts.
+func (r *Registry) stopDuration(count int) time.Duration {
+	d := r.set.MinStop
+	for range count - 1 {
+		if d = 2 * d; d >= r.set.MaxStop {
+			return r.set.MaxStop
+		}
+	}
+	return d
+}
+
+// evaluate returns how many more incidents stop a request, and how many of its counted crashes are
+// in phase Begun.
+func (r *Registry) evaluate(now time.Time, req Request, e *entry) (missing, begun int) {
+	threshold, lateThreshold, since := r.set.CrashThreshold, r.set.LateCrashThreshold, e.clearedAt
+	if e.stop.Count > 0 { // it was stopped and may be tried again
+		threshold, lateThreshold, since = 1, 1, laterOf(e.stop.Until, e.clearedAt)
+	}
+	n := r.countIncidents(now, req, e, since)
+	if n.begun > 0 && r.isHarmfulTeam(now, req.Team, e.service) {
+		return 0, n.begun
+	}
+	missing = threshold - n.early
+	if n.all > n.early {
+		missing = min(missing, lateThreshold-n.all)
+	}
+	return max(missing, 0), n.begun
+}
+
+// incidentCounts are the incidents of a request: all of them, those without late crashes, and its
+// crashes in phase Begun. Crashes that coincide are one incident.
+type incidentCounts struct{ all, early, begun int }
+
+// isHarmfulTeam reports whether so many requests of a team crashed endpoints of a service lately
+// that its next one is likely to do the same.
+func (r *Registry) isHarmfulTeam(now time.Time, team, service string) bool {
+	return r.countHarmful(now, team, service) >= r.set.HarmfulThreshold
+}
+
+// countIncidents counts the incidents of a request after a time, within the retention time.
+func (r *Registry) countIncidents(now time.Time, req Request, e *entry, since time.Time) (n incidentCounts) {
+	var last, lastEarly time.Time
+	for _, crash := range sortedByTime(e.crashes) {
+		if !crash.At.After(since) || now.Sub(crash.At) >= r.set.Retention || !r.implicates(req, &crash) {
+			continue
+		}
+		if crash.Phase == Begun {
+			n.begun++
+		}
+		if r.isSeparateIncident(last, &crash) {
+			n.all, last = n.all+1, crash.At
+		}
+		if crash.Phase != Late && r.isSeparateIncident(lastEarly, &crash) {
+			n.early, lastEarly = n.early+1, crash.At
+		}
+	}
+	return n
+}
+
+// isSeparateIncident reports whether a crash belongs to another incident than the one before, which
+// was at the time last; zero if there is none.
+func (r *Registry) isSeparateIncident(last time.Time, crash *Crash) bool {
+	return last.IsZero() || !crash.Sent.Before(last) || crash.At.Sub(last) > r.set.CoincidenceWindow
+}
+
+// implicates reports whether a crash counts against a request. It does not if another request at
+// the endpoint is a more likely cause.
+func (r *Registry) implicates(req Request, crash *Crash) bool {
+	if crash.Phase == Begun {
+		return true
+	}
+	ownCrashes := len(r.entries[req].crashes)
+	for other := range r.byEndpoint[crash.Endpoint] {
+		e := r.entries[other]
+		if other == req || e == nil {
+			continue
+		}
+		phase := e.phaseAt(crash.Endpoint)
+		if phase == Begun || phase != 0 && (e.stop.Count > 0 || len(e.crashes) > ownCrashes) {
+			return false
+		}
+	}
+	return true
+}
+
+// phaseAt returns the phase of the request at a crashed endpoint; 0 if no such crash is recorded
+// for it.
+func (e *entry) phaseAt(endpoint string) Phase {
+	for i := range e.crashes {
+		if e.crashes[i].Endpoint == endpoint {
+			return e.crashes[i].Phase
+		}
+	}
+	return 0
+}
+
+// countHarmful returns how many requests of a team had begun at endpoints of a service that crashed
+// within [Settings.HarmfulWindow], and have not been cleared since.
+func (r *Registry) countHarmful(now time.Time, team, service string) int {
+	n := 0
+	for req, e := range r.entries {
+		if req.Team == team && e.service == service && e.crashedAtBeginSince(now.Add(-r.set.HarmfulWindow)) {
+			n++
+		}
+	}
+	return n
+}
+
+// crashedAtBeginSince reports whether a crash in phase Begun is later than a time.
+func (e *entry) crashedAtBeginSince(at time.Time) bool {
+	return slices.ContainsFunc(e.crashes, func(crash Crash) bool { return crash.Phase == Begun && crash.At.After(at) })
+}
--- a/core/crashers/doc.go
+++ b/core/crashers/doc.go
@@ -1,41 +1,50 @@
-// Package crashers decides which requests end the endpoints that run them, so that they are not sent to more of them.
+// Package crashers detects requests that crash the endpoints that run them, and decides when such a
+// request is no longer sent to any endpoint.
 //
-// A request of this kind comes again under another id, at any instance, and each time it ends as many endpoints as one
-// request may try. What all its attempts have in common is its content, so that is what a [Register] remembers:
-// which endpoints ended under which [Request], and how far they were with it. After [Settings.Ends] of them the request
-// is stopped for a while.
+// Clients retry a request of this kind under a new id, at any instance, and each retry crashes as
+// many endpoints as one request may try. The attempts share their content, so a [Registry] records,
+// for each [Request] (team and content hash), which endpoints crashed while they had it, and in
+// which [Phase]. After [Settings.CrashThreshold] crashes the request is stopped for a while.
 //
 // # Contract
 //
-// Who is blamed. An endpoint that ends takes all its requests with it, and most of them have nothing to do with it:
-//
-//   - An endpoint that ended right after its answer had begun ([Begun]) says much: few requests are at that point at any
-//     moment. One that ended while it had the request ([Present]) says little, and nothing where there is a better reason:
-//     another request had begun there, was stopped, or was at more endpoints that ended.
-//   - One that ended when its answer had gone on for a while ([Late]) says least: it takes [Settings.LateEnds] of them.
-//   - Ends at the same moment count as one, unless the request was sent to the later endpoint after the earlier one had
-//     ended: they may have one cause, such as the loss of a data centre.
-//   - A request that is served is cleared: what was held against it before does not count any more. One that is being served for a while
-//     is cleared as well, unless endpoints ended under it later than that.
-//   - A request that had begun where an endpoint ended, or to which one more end is missing, is tried by one instance at a time
-//     ([Careful]), so that the next end tells, and costs one endpoint.
-//
-// Callers report an end only where the endpoint is known to have ended: not for silence, lost answers, endpoints that were
-// told to leave, or the loss of most of a data centre.
-//
-// How it ends. A stopped request may be tried again once its time is over, one at a time; the next end stops it again, for
-// twice as long. Serving it, or an operator, clears it.
-//
-// What instances tell each other is a [Fact] for each request. Facts may come late, twice and in any order: ends are united,
-// and the latest stop and the latest clearing count.
-//
-// Bounds: a team has at most [Settings.PerTeam] requests in a register, and all together [Settings.Most]. The
-// least suspicious go first, those of the team that has most of them before others. A team that has sent several
-// such requests within a short time sends more of them likely: what it has not been served yet is tried one at a time, and
-// one [Begun] end is enough.
-//
-// Failure modes: what an instance has not heard yet it does not count, so that more endpoints end. Two contents
-// that share a name are taken for one request; the name has 128 bits and belongs to one team.
-//
-// It does no I/O and reads no clock, and is not safe for concurrent use.
+// Attribution. A crash takes down all requests of the endpoint, and most of them did not cause it:
+//
+//   - A crash right after the answer began ([Begun]) is strong evidence, since few requests are at
+//     that point at any moment. A crash while the endpoint merely had the request ([Present]) is
+//     weaker. It is ignored if another request at the endpoint had begun, is or was stopped, or has
+//     more crashes recorded.
+//   - A crash after the answer had gone on for a while ([Late]) is the weakest evidence: it takes
+//     [Settings.LateCrashThreshold] of them to stop the request.
+//   - Crashes within [Settings.CoincidenceWindow] count as one incident, unless the request was
+//     sent to the later endpoint after the earlier one had crashed. They may share a cause, such as
+//     the loss of a data centre.
+//   - A request that is answered is cleared: crashes before that no longer count. A request that
+//     has been served for a while is cleared as well, unless a late crash is recorded for it.
+//   - A request that had begun at a crashed endpoint, or that is one crash short of being stopped,
+//     is tried by one instance at a time ([Careful]). The next crash is then conclusive and costs
+//     one endpoint.
+//
+// Callers report a crash only if the endpoint's process is known to be gone, or if it fell silent
+// right after its answer began and can't be connected to any more. They do not report other
+// silence, lost answers, endpoints that were told to leave, or the loss of most of a data centre.
+//
+// Release. Once its time is over, a stopped request may be tried again, one attempt at a time. The
+// next crash stops it again for twice as long. A complete answer, or an operator, clears it.
+//
+// Instances exchange one [Fact] for each request. Facts may arrive late, repeatedly and in any
+// order: crashes are merged as a set, the latest clearing counts, and of two stops the one with the
+// higher count.
+//
+// Bounds: a registry holds at most [Settings.MaxPerTeam] requests of a team and
+// [Settings.MaxRequests] in all. The least suspicious are evicted first, from the team that has
+// most of them. A team with [Settings.HarmfulThreshold] requests that crashed endpoints of a
+// service within [Settings.HarmfulWindow] is likely to send more. Its requests that have not been
+// served yet are then tried one at a time, and one [Begun] crash is enough to stop one.
+//
+// Failure modes: an instance does not count crashes that it has not heard of yet, so more endpoints
+// crash before the request is stopped. Two contents with the same hash are taken for one request;
+// the hash has 128 bits and is scoped to a team.
+//
+// The package does no I/O and reads no clock. A Registry is not safe for concurrent use.
 package crashers
--- a/core/crashers/fact.go
+++ b/core/crashers/fact.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-// Fact is what one instance tells others of a request. Times are those of the clock of whoever holds it.
+// Fact is what one instance tells the others about a request. Its times are on the clock of the
+// instance that holds it.
 type Fact struct {
 	Request Request
-	// Service is whose endpoints ended.
+	// Service is the service whose endpoints crashed.
 	Service string
-	Ends    []End
-	// Cleared is when it was cleared last; zero for never.
-	Cleared time.Time
-	Stop    Stop
-	// Trying tells that who tells it is trying the request now.
+	Crashes []Crash
+	// ClearedAt is when the request was cleared last; zero if never.
+	ClearedAt time.Time
+	Stop      Stop
+	// Trying reports whether the sender of the fact is trying the request now.
 	Trying bool
 }
 
-// Fact returns what is to be told of a request; false when nothing is known of it. who is the name of this
-// instance.
-func (r *Register) Fact(now time.Time, req Request, who string) (Fact, bool) {
+// Fact returns what to tell other instances about a request; false if nothing is known of it.
+// instance is the name of this instance.
+func (r *Registry) Fact(now time.Time, req Request, instance string) (Fact, bool) {
 	e := r.entries[req]
 	if e == nil {
 		return Fact{}, false
 	}
-	return Fact{Request: req, Service: e.service, Ends: sorted(e.ends), Cleared: e.cleared, Stop: e.stop, Trying: now.Before(e.trials[who])}, true
+	return Fact{Request: req, Service: e.service, Crashes: sortedByTime(e.crashes), ClearedAt: e.clearedAt, Stop: e.stop, Trying: now.Before(e.trials[instance])}, true
 }
 
-// Stopped returns the requests that are or were stopped and have not been cleared since, in a fixed order.
-func (r *Register) Stopped() []Request {
+// StoppedRequests returns the requests that are or were stopped and have not been cleared since,
+// ordered by team and content.
+func (r *Registry) StoppedRequests() []Request {
 	var out []Request
 	for req, e := range r.entries {
-		if e.stop.Times > 0 {
+		if e.stop.Count > 0 {
 			out = append(out, req)
 		}
 	}
@@ -43,74 +45,78 @@
 	return out
 }
 
-// Heard takes what another instance, or the place where stops are kept, told. It returns what that changed.
-func (r *Register) Heard(now time.Time, from string, f Fact) Change {
-	before := r.isStopped(now, f.Request)
-	if r.entries[f.Request] == nil && len(f.Ends) == 0 && f.Stop.Times == 0 && !f.Trying {
-		return Change{} // it was cleared, and nothing is held against it here
+// Merge merges a fact from another instance or from the platform's store, and returns what that
+// changed. from is the sender, whose trial the fact reports. It ignores a crash, clearing or stop
+// that is in the future.
+func (r *Registry) Merge(now time.Time, from string, f Fact) Change {
+	wasStopped := r.isStopped(now, f.Request)
+	if r.entries[f.Request] == nil && len(f.Crashes) == 0 && f.Stop.Count == 0 && !f.Trying {
+		return Change{} // the fact only reports a clearing, and there is nothing to clear here
 	}
-	e := r.entry(now, f.Request)
+	e := r.getOrCreate(now, f.Request)
 	if e == nil {
 		return Change{}
 	}
 	e.service = f.Service
-	cleared := f.Cleared.After(e.cleared) && !f.Cleared.After(now)
+	cleared := f.ClearedAt.After(e.clearedAt) && !f.ClearedAt.After(now)
 	if cleared {
-		r.clear(f.Request, f.Cleared)
+		r.clear(f.Request, f.ClearedAt)
 	}
-	for _, end := range f.Ends[:min(len(f.Ends), endsKept*r.set.Ends)] {
-		if !end.At.After(now) && end.Sign.weight() > 0 {
-			end.Service = f.Service
-			r.add(now, f.Request, end)
+	for _, crash := range f.Crashes[:min(len(f.Crashes), historyFactor*r.set.CrashThreshold)] {
+		if !crash.At.After(now) && crash.Phase.strength() > 0 {
+			crash.Service = f.Service
+			r.addCrash(now, f.Request, crash)
 		}
 	}
-	e.heardStop(r.bounded(now, f.Stop))
-	e.heardTrial(from, f.Trying, now.Add(r.set.TrialMost))
-	return Change{Cleared: cleared, Stopped: r.decide(now, f.Request) && !before}
+	e.mergeStop(r.clampStop(now, f.Stop))
+	e.mergeTrial(from, f.Trying, now.Add(r.set.TrialTimeout))
+	return Change{Cleared: cleared, Stopped: r.stopIfNeeded(now, f.Request) && !wasStopped}
 }
 
-// Change is what a fact changed: the request was cleared, or it was not stopped and is now.
+// Change says what a fact changed: the request was cleared, or it became stopped.
 type Change struct{ Cleared, Stopped bool }
 
-// bounded keeps a stop within what this register would decide itself.
-func (r *Register) bounded(now time.Time, s Stop) Stop {
-	if s.Times <= 0 || s.At.After(now) {
+// clampStop limits a stop to the duration that this registry would decide itself. It returns the
+// zero value for a stop in the future.
+func (r *Registry) clampStop(now time.Time, s Stop) Stop {
+	if s.Count <= 0 || s.At.After(now) {
 		return Stop{}
 	}
-	if until := s.At.Add(r.stopFor(min(s.Times, stopsMost))); s.Until.After(until) {
+	if until := s.At.Add(r.stopDuration(min(s.Count, maxStopCount))); s.Until.After(until) {
 		s.Until = until
 	}
 	return s
 }
 
-// stopsMost bounds how often a request counts as stopped.
-const stopsMost = 32
+// maxStopCount bounds the stop count of another instance before it is used to compute a duration.
+const maxStopCount = 32
 
-// heardStop takes a stop that is not older than the last clearing.
-func (e *entry) heardStop(s Stop) {
-	if s.Times == 0 || !s.At.After(e.cleared) {
+// mergeStop merges a stop that is later than the last clearing: the higher count wins, and of equal
+// counts the later expiry.
+func (e *entry) mergeStop(s Stop) {
+	if s.Count == 0 || !s.At.After(e.clearedAt) {
 		return
 	}
 	switch {
-	case s.Times > e.stop.Times:
+	case s.Count > e.stop.Count:
 		e.stop = s
-	case s.Times == e.stop.Times:
-		e.stop.Until = latest(e.stop.Until, s.Until)
+	case s.Count == e.stop.Count:
+		e.stop.Until = laterOf(e.stop.Until, s.Until)
 		e.stop.Stored = e.stop.Stored || s.Stored
 	}
 }
 
-func (e *entry) heardTrial(from string, trying bool, until time.Time) {
+func (e *entry) mergeTrial(from string, trying bool, until time.Time) {
 	if trying {
-		e.try(from, until)
+		e.startTrial(from, until)
 		return
 	}
 	delete(e.trials, from)
 }
 
-// Forget drops the trials of an instance that is gone.
-func (r *Register) Forget(who string) {
+// DropTrials drops all trials of an instance that is gone.
+func (r *Registry) DropTrials(instance string) {
 	for _, e := range r.entries {
-		delete(e.trials, who)
+		delete(e.trials, instance)
 	}
 }
--- a/core/crashers/verdict.go
+++ b/core/crashers/verdict.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Verdict returns what may be done with a request to a service.
-func (r *Register) Verdict(now time.Time, req Request, service string) Verdict {
+// Verdict returns how a request may be sent to a service.
+func (r *Registry) Verdict(now time.Time, req Request, service string) Verdict {
 	e := r.entries[req]
 	if e == nil {
 		e = &entry{}
@@ -14,106 +14,113 @@
 	if e.stopped(now) {
 		return Stopped
 	}
-	missing, begun := r.weigh(now, req, e)
+	missing, begun := r.evaluate(now, req, e)
 	switch {
-	case e.cleared.IsZero() && r.watched(now, req.Team, service):
+	case e.clearedAt.IsZero() && r.isHarmfulTeam(now, req.Team, service):
 		return Careful
 	case begun > 0, missing <= 1:
 		return Careful
-	case missing < r.set.Ends:
+	case missing < r.set.CrashThreshold:
 		return Suspect
 	}
 	return Free
 }
 
-// Stop returns how a request is stopped; the zero value when it is not known.
-func (r *Register) Stop(req Request) Stop {
+// Stop returns the stop of a request; the zero value if the request is unknown or not stopped since
+// it was cleared.
+func (r *Registry) Stop(req Request) Stop {
 	if e := r.entries[req]; e != nil {
 		return e.stop
 	}
 	return Stop{}
 }
 
-// Stored notes that the stop of a request is kept where it outlasts all instances.
-func (r *Register) Stored(req Request) {
+// MarkStored records that the stop of a request is in the platform's store, where it outlives all
+// instances.
+func (r *Registry) MarkStored(req Request) {
 	if e := r.entries[req]; e != nil {
 		e.stop.Stored = true
 	}
 }
 
-// Clear forgets what is held against a request: it was served, or an operator lets it go. It returns true when
-// there was anything.
-func (r *Register) Clear(now time.Time, req Request) bool {
+// Clear drops the crashes and the stop of a request that was served, or that an operator released.
+// It returns true if there were any.
+func (r *Registry) Clear(now time.Time, req Request) bool {
 	e := r.entries[req]
-	if e == nil || len(e.ends) == 0 && e.stop.Times == 0 {
+	if e == nil || len(e.crashes) == 0 && e.stop.Count == 0 {
 		return false
 	}
 	r.clear(req, now)
 	return true
 }
 
-// Progress forgets what is held against a request that has been served for a while, unless endpoints ended under it later than that. It
-// returns true when there was anything.
-func (r *Register) Progress(now time.Time, req Request) bool {
-	if e := r.entries[req]; e != nil && slices.ContainsFunc(e.ends, func(end End) bool { return end.Sign == Late }) {
+// ClearOnProgress clears a request that has been served for a while but not to its end. It does
+// nothing if a late crash is recorded, since this progress does not disprove it. It returns true if
+// it cleared anything.
+func (r *Registry) ClearOnProgress(now time.Time, req Request) bool {
+	if e := r.entries[req]; e != nil && slices.ContainsFunc(e.crashes, func(crash Crash) bool { return crash.Phase == Late }) {
 		return false
 	}
 	return r.Clear(now, req)
 }
 
-// clear forgets what was held against a request up to a time.
-func (r *Register) clear(req Request, at time.Time) {
+// clear drops the stop, the trials, and all crashes up to a time.
+func (r *Registry) clear(req Request, at time.Time) {
 	e := r.entries[req]
-	e.cleared, e.stop, e.trials = at, Stop{}, nil
-	kept := e.ends[:0]
-	for _, end := range e.ends {
-		if end.At.After(at) {
-			kept = append(kept, end)
+	e.clearedAt, e.stop, e.trials = at, Stop{}, nil
+	kept := e.crashes[:0]
+	for _, crash := range e.crashes {
+		if crash.At.After(at) {
+			kept = append(kept, crash)
 		} else {
-			r.unhad(req, &end)
+			r.unlinkEndpoint(req, &crash)
 		}
 	}
-	e.ends = kept
+	e.crashes = kept
 }
 
-// Try asks for the trial of a request to a service that is to be handled with care. It returns false while another one is
-// tried.
-func (r *Register) Try(now time.Time, req Request, service, who string) bool {
-	watched := r.watched(now, req.Team, service)
+// AcquireTrial starts the trial of a [Careful] request at a service, for this instance. It returns
+// false while another instance tries the request. If its team is harmful, it also returns false
+// while any other request of the team to the service is tried, by whatever instance. If the
+// registry has no room, the trial is granted but not recorded. The caller ends it with
+// [Registry.ReleaseTrial].
+func (r *Registry) AcquireTrial(now time.Time, req Request, service, instance string) bool {
+	harmful := r.isHarmfulTeam(now, req.Team, service)
 	for other, e := range r.entries {
-		if other == req || watched && other.Team == req.Team && e.service == service {
-			if e.tried(now, who, other == req) {
+		if other == req || harmful && other.Team == req.Team && e.service == service {
+			if e.hasActiveTrial(now, instance, other == req) {
 				return false
 			}
 		}
 	}
-	if e := r.entry(now, req); e != nil {
+	if e := r.getOrCreate(now, req); e != nil {
 		e.service = service
-		e.try(who, now.Add(r.set.TrialMost))
+		e.startTrial(instance, now.Add(r.set.TrialTimeout))
 	}
 	return true
 }
 
-// tried tells whether anybody is trying a request; not counting who asks, where it is the same one.
-func (e *entry) tried(now time.Time, who string, same bool) bool {
+// hasActiveTrial reports whether a trial of a request is in progress. Trials of the given instance
+// itself don't count if sameRequest is set.
+func (e *entry) hasActiveTrial(now time.Time, instance string, sameRequest bool) bool {
 	for by, until := range e.trials {
-		if now.Before(until) && !(same && by == who) {
+		if now.Before(until) && !(sameRequest && by == instance) {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *entry) try(who string, until time.Time) {
+func (e *entry) startTrial(instance string, until time.Time) {
 	if e.trials == nil {
 		e.trials = map[string]time.Time{}
 	}
-	e.trials[who] = until
+	e.trials[instance] = until
 }
 
-// Tried reports the end of a trial.
-func (r *Register) Tried(req Request, who string) {
+// ReleaseTrial ends the trial of a request by an instance.
+func (r *Registry) ReleaseTrial(req Request, instance string) {
 	if e := r.entries[req]; e != nil {
-		delete(e.trials, who)
+		delete(e.trials, instance)
 	}
 }
--- a/gateway/crashes/codec.go
+++ b/gateway/crashes/codec.go
@@ -9,7 +9,7 @@
 )
 
 // contentSize is the size of a content on the wire, in bytes.
-const contentSize = len(crashers.Content{})
+const contentSize = len(crashers.ContentHash{})
 
 // EncodeFacts returns facts as other instances are told them.
 func EncodeFacts(now time.Time, facts []crashers.Fact) []*peerv1.CrashFact {
@@ -22,17 +22,17 @@
 
 func encodeFact(now time.Time, f *crashers.Fact) *peerv1.CrashFact {
 	out := &peerv1.CrashFact{Team: f.Request.Team, Content: f.Request.Content[:], Service: f.Service, Trying: f.Trying}
-	for _, e := range f.Ends {
+	for _, e := range f.Crashes {
 		out.Ends = append(out.Ends, &peerv1.EndUnder{
-			Endpoint: e.Endpoint, Sign: peerv1.EndSign(e.Sign), SentAge: clock.EncodeAge(now.Sub(e.Sent)), Age: clock.EncodeAge(now.Sub(e.At)),
+			Endpoint: e.Endpoint, Sign: peerv1.EndSign(e.Phase), SentAge: clock.EncodeAge(now.Sub(e.Sent)), Age: clock.EncodeAge(now.Sub(e.At)),
 		})
 	}
-	if !f.Cleared.IsZero() {
-		age := clock.EncodeAge(now.Sub(f.Cleared))
+	if !f.ClearedAt.IsZero() {
+		age := clock.EncodeAge(now.Sub(f.ClearedAt))
 		out.ClearedAge = &age
 	}
-	if s := f.Stop; s.Times > 0 {
-		out.Stops, out.Stored = uint32(s.Times), s.Stored
+	if s := f.Stop; s.Count > 0 {
+		out.Stops, out.Stored = uint32(s.Count), s.Stored
 		out.StopAge, out.StopLeft = clock.EncodeAge(now.Sub(s.At)), clock.EncodeAge(s.Until.Sub(now))
 	}
 	return out
@@ -50,16 +50,16 @@
 }
 
 func decodeFact(now time.Time, f *peerv1.CrashFact) crashers.Fact {
-	out := crashers.Fact{Request: crashers.Request{Team: f.Team, Content: crashers.Content(f.Content)}, Service: f.Service, Trying: f.Trying}
+	out := crashers.Fact{Request: crashers.Request{Team: f.Team, Content: crashers.ContentHash(f.Content)}, Service: f.Service, Trying: f.Trying}
 	ago := func(ms uint64) time.Time { return now.Add(-clock.DecodeAge(ms)) }
 	for _, e := range f.Ends {
-		out.Ends = append(out.Ends, crashers.End{Endpoint: e.GetEndpoint(), Sign: crashers.Sign(e.GetSign()), Sent: ago(e.GetSentAge()), At: ago(e.GetAge())})
+		out.Crashes = append(out.Crashes, crashers.Crash{Endpoint: e.GetEndpoint(), Phase: crashers.Phase(e.GetSign()), Sent: ago(e.GetSentAge()), At: ago(e.GetAge())})
 	}
 	if f.ClearedAge != nil {
-		out.Cleared = ago(*f.ClearedAge)
+		out.ClearedAt = ago(*f.ClearedAge)
 	}
 	if f.Stops > 0 {
-		out.Stop = crashers.Stop{Times: int(f.Stops), At: ago(f.StopAge), Until: now.Add(clock.DecodeAge(f.StopLeft)), Stored: f.Stored}
+		out.Stop = crashers.Stop{Count: int(f.Stops), At: ago(f.StopAge), Until: now.Add(clock.DecodeAge(f.StopLeft)), Stored: f.Stored}
 	}
 	return out
 }
--- a/gateway/crashes/codec_test.go
+++ b/gateway/crashes/codec_test.go
@@ -15,10 +15,10 @@
 // stoppedFact is a stopped request.
 func stoppedFact(team string) crashers.Fact {
 	now := time.Now()
-	end := crashers.End{Endpoint: "i-1", Sign: crashers.Begun, Sent: now.Add(-2 * time.Second), At: now.Add(-time.Second)}
+	end := crashers.Crash{Endpoint: "i-1", Phase: crashers.Begun, Sent: now.Add(-2 * time.Second), At: now.Add(-time.Second)}
 	return crashers.Fact{
-		Request: crashers.Request{Team: team, Content: crashers.Content{1, 2, 3}}, Service: "engines", Ends: []crashers.End{end, end, end},
-		Stop: crashers.Stop{Times: 1, At: now, Until: now.Add(10 * time.Minute)},
+		Request: crashers.Request{Team: team, Content: crashers.ContentHash{1, 2, 3}}, Service: "engines", Crashes: []crashers.Crash{end, end, end},
+		Stop: crashers.Stop{Count: 1, At: now, Until: now.Add(10 * time.Minute)},
 	}
 }
 
@@ -26,24 +26,24 @@
 func TestFactsOnTheWire(t *testing.T) {
 	now := time.Now().Truncate(time.Millisecond)
 	f := stoppedFact("desk")
-	f.Cleared, f.Trying, f.Stop.Stored = now.Add(-time.Minute), true, true
+	f.ClearedAt, f.Trying, f.Stop.Stored = now.Add(-time.Minute), true, true
 	got := DecodeFacts(now, EncodeFacts(now, []crashers.Fact{f}))
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].Request, f.Request)
-	assert.Equal(t, len(got[0].Ends), len(f.Ends))
+	assert.Equal(t, len(got[0].Crashes), len(f.Crashes))
 	near := func(a, b time.Time) {
 		t.Helper()
 		assert.Assert(t, a.Sub(b).Abs() <= time.Millisecond, "%v %v", a, b)
 	}
-	for i, e := range got[0].Ends {
-		assert.Equal(t, e.Endpoint, f.Ends[i].Endpoint)
-		assert.Equal(t, e.Sign, f.Ends[i].Sign)
-		near(e.Sent, f.Ends[i].Sent)
-		near(e.At, f.Ends[i].At)
+	for i, e := range got[0].Crashes {
+		assert.Equal(t, e.Endpoint, f.Crashes[i].Endpoint)
+		assert.Equal(t, e.Phase, f.Crashes[i].Phase)
+		near(e.Sent, f.Crashes[i].Sent)
+		near(e.At, f.Crashes[i].At)
 	}
-	near(got[0].Cleared, f.Cleared)
+	near(got[0].ClearedAt, f.ClearedAt)
 	near(got[0].Stop.Until, f.Stop.Until)
-	assert.Equal(t, got[0].Stop.Times, 1)
+	assert.Equal(t, got[0].Stop.Count, 1)
 	assert.Assert(t, got[0].Trying && got[0].Stop.Stored)
 	cut := EncodeFacts(now, []crashers.Fact{f})
 	cut[0].Content = cut[0].Content[1:]
--- a/gateway/crashes/crashes.go
+++ b/gateway/crashes/crashes.go
@@ -50,7 +50,7 @@
 	wake, keeperWake chan struct{}
 
 	mu     sync.Mutex
-	core   *crashers.Register
+	core   *crashers.Registry
 	trials map[crashers.Request]any // whose trial each request is, of this instance
 	news   map[crashers.Request]int // how often each is still to be told
 	writes map[crashers.Request]time.Time
@@ -111,7 +111,7 @@
 	if other := r.trials[req]; other != nil && other != by {
 		return false
 	}
-	if !r.core.Try(now, req, service, r.Self) {
+	if !r.core.AcquireTrial(now, req, service, r.Self) {
 		return false
 	}
 	r.trials[req] = by
@@ -120,10 +120,10 @@
 }
 
 // Ended reports that an endpoint ended under a request. inputs are what else led to that, for the log.
-func (r *Register) Ended(req crashers.Request, end crashers.End, inputs logrus.Fields) {
+func (r *Register) Ended(req crashers.Request, end crashers.Crash, inputs logrus.Fields) {
 	r.mu.Lock()
 	now := time.Now()
-	stopped := r.core.Ended(now, req, end)
+	stopped := r.core.RecordCrash(now, req, end)
 	verdict := r.core.Verdict(now, req, end.Service)
 	f, _ := r.core.Fact(now, req, r.Self)
 	r.tell(req)
@@ -132,10 +132,10 @@
 	}
 	r.readAfterEnd()
 	r.mu.Unlock()
-	r.metrics.blamed(end.Sign)
+	r.metrics.blamed(end.Phase)
 	r.log(req, inputs).WithFields(logrus.Fields{
-		"endpoint": end.Endpoint, "begun": end.Sign == crashers.Begun, "late": end.Sign == crashers.Late, "had_it_ms": end.At.Sub(end.Sent).Milliseconds(),
-		"endpoints": len(f.Ends), "verdict": verdict.String(),
+		"endpoint": end.Endpoint, "begun": end.Phase == crashers.Begun, "late": end.Phase == crashers.Late, "had_it_ms": end.At.Sub(end.Sent).Milliseconds(),
+		"endpoints": len(f.Crashes), "verdict": verdict.String(),
 	}).Warn("an endpoint ended under a request")
 	if stopped {
 		r.stopped(req, "decided")
@@ -154,7 +154,7 @@
 	r.mu.Unlock()
 	r.metrics.stops.Inc(1)
 	r.log(req, nil).WithFields(logrus.Fields{
-		"how": how, "endpoints": endpoints(&f), "times": f.Stop.Times, "for_ms": time.Until(f.Stop.Until).Milliseconds(),
+		"how": how, "endpoints": endpoints(&f), "times": f.Stop.Count, "for_ms": time.Until(f.Stop.Until).Milliseconds(),
 	}).Warn("request stopped")
 	r.Options.Stopped(req)
 }
@@ -169,15 +169,15 @@
 // Progressed reports that a request has been served for a while.
 func (r *Register) Progressed(req crashers.Request) {
 	if r.Known() {
-		r.clearBy(req, "served for a while", r.core.Progress)
+		r.clearBy(req, "served for a while", r.core.ClearOnProgress)
 	}
 }
 
 // endpoints names the endpoints that ended under a request.
 func endpoints(f *crashers.Fact) []string {
-	out := make([]string, len(f.Ends))
-	for i := range f.Ends {
-		out[i] = f.Ends[i].Endpoint
+	out := make([]string, len(f.Crashes))
+	for i := range f.Crashes {
+		out[i] = f.Crashes[i].Endpoint
 	}
 	return out
 }
@@ -216,7 +216,7 @@
 		return
 	}
 	delete(r.trials, req)
-	r.core.Tried(req, r.Self)
+	r.core.ReleaseTrial(req, r.Self)
 	r.tell(req)
 }
 
@@ -228,7 +228,7 @@
 	var stopped []crashers.Request
 	for i := range facts {
 		req := facts[i].Request
-		if r.core.Heard(now, from, facts[i]).Stopped {
+		if r.core.Merge(now, from, facts[i]).Stopped {
 			stopped = append(stopped, req)
 		}
 		r.mayWrite(now, req)
@@ -246,7 +246,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	var out []crashers.Fact
-	for _, req := range r.core.Stopped() {
+	for _, req := range r.core.StoppedRequests() {
 		if f, ok := r.core.Fact(now, req, r.Self); ok {
 			out = append(out, f)
 		}
@@ -258,7 +258,7 @@
 func (r *Register) Forget(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.core.Forget(instance)
+	r.core.DropTrials(instance)
 }
 
 // State is what is held against a request, for operators.
@@ -284,7 +284,7 @@
 		v, left := r.Verdict(f.Request, f.Service)
 		out[i] = State{
 			Team: f.Request.Team, Service: f.Service, Content: hex.EncodeToString(f.Request.Content[:]), Verdict: v.String(),
-			Times: f.Stop.Times, ForMS: left.Milliseconds(), Stored: f.Stop.Stored, Endpoints: endpoints(f),
+			Times: f.Stop.Count, ForMS: left.Milliseconds(), Stored: f.Stop.Stored, Endpoints: endpoints(f),
 		}
 	}
 	return out
--- a/gateway/crashes/crashes_test.go
+++ b/gateway/crashes/crashes_test.go
@@ -149,14 +149,14 @@
 	go r.Run(ctx)
 }
 
-var harmful = crashers.Request{Team: "desk", Content: crashers.Content{7}}
+var harmful = crashers.Request{Team: "desk", Content: crashers.ContentHash{7}}
 
 // harm ends three endpoints under a request, at some instances in turn.
 func (w *fleet) harm(at ...int) {
 	for n, i := range at {
 		sent := time.Now()
 		time.Sleep(time.Second)
-		w.all[i].Ended(harmful, crashers.End{Endpoint: fmt.Sprint("e", n), Service: "engines", Sign: crashers.Begun, Sent: sent, At: time.Now()}, nil)
+		w.all[i].Ended(harmful, crashers.Crash{Endpoint: fmt.Sprint("e", n), Service: "engines", Phase: crashers.Begun, Sent: sent, At: time.Now()}, nil)
 	}
 }
 
@@ -248,7 +248,7 @@
 		restart()
 		assert.Equal(w, w.store.kept(), 1)
 		w.verdicts(crashers.Stopped)
-		time.Sleep(crashers.DefaultSettings().StopFirst + sweepAfter)
+		time.Sleep(crashers.DefaultSettings().MinStop + sweepAfter)
 		restart()
 		assert.Equal(w, w.store.kept(), 0)
 	})
@@ -280,6 +280,6 @@
 		assert.Equal(w, len(facts), 1)
 		r.Heard("the store", facts, true)
 		_, left := r.Verdict(harmful, "engines")
-		assert.Assert(w, left <= crashers.DefaultSettings().StopFirst, "%v", left)
+		assert.Assert(w, left <= crashers.DefaultSettings().MinStop, "%v", left)
 	})
 }
--- a/gateway/crashes/judge.go
+++ b/gateway/crashes/judge.go
@@ -48,7 +48,7 @@
 }
 
 // sign returns what the end of the endpoint at a time would say about the request; 0 for nothing.
-func (l *Loss) sign(at time.Time) crashers.Sign {
+func (l *Loss) sign(at time.Time) crashers.Phase {
 	switch {
 	case l.Served, !l.EventAt.IsZero() && at.Sub(l.EventAt) >= ServedAfter:
 		return crashers.Late
@@ -63,7 +63,7 @@
 // Judge finds out whether a request is to blame for the end of an endpoint. It is safe for concurrent use.
 type Judge struct {
 	// Ended takes what is held against a request; nil where nothing is.
-	Ended func(req crashers.Request, end crashers.End, inputs logrus.Fields)
+	Ended func(req crashers.Request, end crashers.Crash, inputs logrus.Fields)
 	// HasEnded tells whether the process of an endpoint is gone that was not told to leave.
 	HasEnded func(endpoint string) bool
 	// Unreachable tells whether an endpoint that was not told to leave can't be connected to; nil where silence says nothing.
@@ -89,7 +89,7 @@
 		go j.Blame(context.Background(), before, l)
 		return
 	}
-	end := crashers.End{Endpoint: l.Endpoint, Service: l.Service, Sign: sign, Sent: l.SentAt, At: at}
+	end := crashers.Crash{Endpoint: l.Endpoint, Service: l.Service, Phase: sign, Sent: l.SentAt, At: at}
 	if sign == crashers.Begun {
 		if j.HasEnded(l.Endpoint) {
 			j.Ended(l.Request, end, logrus.Fields{"request": l.ID})
@@ -116,11 +116,11 @@
 	if j.Ended == nil || l.Served || l.HeadAt.IsZero() || !l.EventAt.IsZero() {
 		return
 	}
-	j.blameUnreachable(&l, crashers.End{Endpoint: l.Endpoint, Service: l.Service, Sign: crashers.Begun, Sent: l.SentAt, At: time.Now()})
+	j.blameUnreachable(&l, crashers.Crash{Endpoint: l.Endpoint, Service: l.Service, Phase: crashers.Begun, Sent: l.SentAt, At: time.Now()})
 }
 
 // blameUnreachable holds an end against a request in the background, if connections to the endpoint are not answered.
-func (j *Judge) blameUnreachable(l *Loss, end crashers.End) {
+func (j *Judge) blameUnreachable(l *Loss, end crashers.Crash) {
 	if j.Unreachable == nil {
 		return
 	}
@@ -132,7 +132,7 @@
 
 // blameLater reports an end in the background, if the endpoint is gone and did not go with most of its data centre. It returns a channel
 // that is closed when that is decided; nil where too many are to be decided already.
-func (j *Judge) blameLater(l *Loss, end crashers.End, gone func(endpoint string) bool, report func(inputs logrus.Fields)) chan struct{} {
+func (j *Judge) blameLater(l *Loss, end crashers.Crash, gone func(endpoint string) bool, report func(inputs logrus.Fields)) chan struct{} {
 	if j.unsure.Add(1) > unsureMost {
 		j.unsure.Add(-1)
 		return nil
@@ -151,7 +151,7 @@
 }
 
 // alone reports whether an endpoint ended by itself, not with most of its data centre, and the inputs of that decision.
-func (j *Judge) alone(l *Loss, end crashers.End) (inputs logrus.Fields, alone bool) {
+func (j *Judge) alone(l *Loss, end crashers.Crash) (inputs logrus.Fields, alone bool) {
 	pause.For(context.Background(), unsureFor)
 	failed, all := j.Nearby(end.Endpoint, end.At.Add(-atOneMoment), end.At.Add(unsureFor))
 	return logrus.Fields{"request": l.ID, "failed_nearby": failed, "endpoints_nearby": all}, 2*failed < all || failed <= 1
--- a/gateway/crashes/losses.go
+++ b/gateway/crashes/losses.go
@@ -26,8 +26,8 @@
 func (l *Losses) Any() bool { return l.count.Load() > 0 }
 
 // take reports an end, or holds it until it counts.
-func (l *Losses) take(end *crashers.End, report func()) {
-	if end.Sign != crashers.Late {
+func (l *Losses) take(end *crashers.Crash, report func()) {
+	if end.Phase != crashers.Late {
 		report()
 		return
 	}
--- a/gateway/crashes/metrics.go
+++ b/gateway/crashes/metrics.go
@@ -21,7 +21,7 @@
 }
 
 // blamed counts an endpoint that ended under a request.
-func (m *metrics) blamed(sign crashers.Sign) {
-	name := map[crashers.Sign]string{crashers.Present: "present", crashers.Begun: "begun", crashers.Late: "late"}[sign]
+func (m *metrics) blamed(sign crashers.Phase) {
+	name := map[crashers.Phase]string{crashers.Present: "present", crashers.Begun: "begun", crashers.Late: "late"}[sign]
 	m.scope.Tagged(map[string]string{"sign": name}).Counter("endpoint_ends_under_requests_total").Inc(1)
 }
--- a/gateway/crashes/store.go
+++ b/gateway/crashes/store.go
@@ -116,14 +116,14 @@
 		if err == nil {
 			err = json.Unmarshal(o.Spec, &e)
 		}
-		if err != nil || len(content) != len(crashers.Content{}) {
+		if err != nil || len(content) != len(crashers.ContentHash{}) {
 			r.Log.WithField("object", o.Name).Warn("stopped request can't be read")
 			continue
 		}
 		// The times of the store's objects are those of another machine's clock, and may be some seconds off.
 		out = append(out, crashers.Fact{
-			Request: crashers.Request{Team: e.Team, Content: crashers.Content(content)}, Service: e.Service,
-			Stop: crashers.Stop{Times: e.Times, At: earlier(e.At, time.Now()), Until: e.Until, Stored: true},
+			Request: crashers.Request{Team: e.Team, Content: crashers.ContentHash(content)}, Service: e.Service,
+			Stop: crashers.Stop{Count: e.Times, At: earlier(e.At, time.Now()), Until: e.Until, Stored: true},
 		})
 	}
 	return out
@@ -172,11 +172,11 @@
 	r.mu.Unlock()
 	s := f.Stop
 	name := hex.EncodeToString(req.Content[:])
-	spec, err := json.Marshal(stopEntry{Team: req.Team, Service: f.Service, Times: s.Times, At: s.At.UTC(), Until: s.Until.UTC()})
-	if err == nil && s.Times > 0 {
+	spec, err := json.Marshal(stopEntry{Team: req.Team, Service: f.Service, Times: s.Count, At: s.At.UTC(), Until: s.Until.UTC()})
+	if err == nil && s.Count > 0 {
 		_, err = r.Store.Create(ctx, platform.KindStopped, name, spec)
 		switch {
-		case platform.IsConflict(err) && s.Times > 1:
+		case platform.IsConflict(err) && s.Count > 1:
 			_, err = r.Store.Replace(ctx, platform.KindStopped, name, spec, 0)
 		case platform.IsConflict(err): // another instance was first
 			err = nil
@@ -190,7 +190,7 @@
 		return
 	}
 	delete(r.writes, req)
-	r.core.Stored(req)
+	r.core.MarkStored(req)
 	r.tell(req)
 }
 
--- a/gateway/exchange/crashes_test.go
+++ b/gateway/exchange/crashes_test.go
@@ -13,10 +13,10 @@
 // stoppedFact is a stopped request.
 func stoppedFact(team string) crashers.Fact {
 	now := time.Now()
-	end := crashers.End{Endpoint: "i-1", Sign: crashers.Begun, Sent: now.Add(-2 * time.Second), At: now.Add(-time.Second)}
+	end := crashers.Crash{Endpoint: "i-1", Phase: crashers.Begun, Sent: now.Add(-2 * time.Second), At: now.Add(-time.Second)}
 	return crashers.Fact{
-		Request: crashers.Request{Team: team, Content: crashers.Content{1, 2, 3}}, Ends: []crashers.End{end, end, end},
-		Stop: crashers.Stop{Times: 1, At: now, Until: now.Add(10 * time.Minute)},
+		Request: crashers.Request{Team: team, Content: crashers.ContentHash{1, 2, 3}}, Crashes: []crashers.Crash{end, end, end},
+		Stop: crashers.Stop{Count: 1, At: now, Until: now.Add(10 * time.Minute)},
 	}
 }
 
@@ -27,12 +27,12 @@
 		for i := range 100 {
 			f := stoppedFact("desk")
 			f.Request.Content[15] = byte(i)
-			for len(f.Ends) < 12 {
-				f.Ends = append(f.Ends, f.Ends[0])
+			for len(f.Crashes) < 12 {
+				f.Crashes = append(f.Crashes, f.Crashes[0])
 			}
-			f.Ends = append([]crashers.End(nil), f.Ends...)
-			for n := range f.Ends {
-				f.Ends[n].Endpoint = fmt.Sprint("i-ce052d86f5@mm1n1qpn-", n)
+			f.Crashes = append([]crashers.Crash(nil), f.Crashes...)
+			for n := range f.Crashes {
+				f.Crashes[n].Endpoint = fmt.Sprint("i-ce052d86f5@mm1n1qpn-", n)
 			}
 			facts = append(facts, f)
 		}
--- a/gateway/forward/content.go
+++ b/gateway/forward/content.go
@@ -16,7 +16,7 @@
 		length = req.length
 	}
 	team := req.teamName()
-	req.identity = crashers.Request{Team: team, Content: crashers.ContentOf(
+	req.identity = crashers.Request{Team: team, Content: crashers.HashContent(
 		[]byte(team), []byte(req.http.Method), []byte(req.http.Host), []byte(req.http.RequestURI),
 		strconv.AppendInt(nil, length, 10), req.body,
 	)}
--- a/gateway/forward/content_test.go
+++ b/gateway/forward/content_test.go
@@ -42,7 +42,7 @@
 	} {
 		assert.Equal(t, of(p), of(one), name)
 	}
-	seen := map[crashers.Content]string{of(one).Content: "one"}
+	seen := map[crashers.ContentHash]string{of(one).Content: "one"}
 	for name, p := range map[string]parts{
 		"another team":                  change(func(p *parts) { p.team = "field" }),
 		"no team":                       change(func(p *parts) { p.team = "" }),
--- a/gateway/forward/crashes.go
+++ b/gateway/forward/crashes.go
@@ -21,7 +21,7 @@
 	// Verdict returns what may be done with a request to a service, and for how long it is stopped.
 	Verdict(req crashers.Request, service string) (crashers.Verdict, time.Duration)
 	// Ended reports that an endpoint ended under a request, Progressed that one has served it for a while, and Served that it was served.
-	Ended(req crashers.Request, end crashers.End, inputs logrus.Fields)
+	Ended(req crashers.Request, end crashers.Crash, inputs logrus.Fields)
 	Progressed(crashers.Request)
 	Served(crashers.Request)
 	// Admit tells whether a request may be sent to an endpoint of a service. One that is to be handled with care is tried by who asks,
@@ -36,9 +36,9 @@
 func (noCrashes) Verdict(crashers.Request, string) (crashers.Verdict, time.Duration) {
 	return crashers.Free, 0
 }
-func (noCrashes) Ended(crashers.Request, crashers.End, logrus.Fields) {}
-func (noCrashes) Progressed(crashers.Request)                         {}
-func (noCrashes) Served(crashers.Request)                             {}
+func (noCrashes) Ended(crashers.Request, crashers.Crash, logrus.Fields) {}
+func (noCrashes) Progressed(crashers.Request)                           {}
+func (noCrashes) Served(crashers.Request)                               {}
 func (noCrashes) Admit(crashers.Request, string, any) crashes.Admission {
 	return crashes.Admission{}
 }
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -20,12 +20,12 @@
 func (x *Exchange) identity() crashers.Request {
 	same := *x.Generation
 	same.Prefix, same.Stream, same.IncludeUsage = nil, false, false
-	return crashers.Request{Team: x.Team.Name, Content: crashers.ContentOf(same.encoded(x.Form))}
+	return crashers.Request{Team: x.Team.Name, Content: crashers.HashContent(same.encoded(x.Form))}
 }
 
 // identityOf names a call, so that it is known when it comes again.
 func identityOf(c *once.Call) crashers.Request {
-	return crashers.Request{Team: c.Team, Content: crashers.ContentOf([]byte(c.Deployment), []byte(c.Method), []byte(c.Path), c.Body)}
+	return crashers.Request{Team: c.Team, Content: crashers.HashContent([]byte(c.Deployment), []byte(c.Method), []byte(c.Path), c.Body)}
 }
 
 // stopped returns the error for a request that ends the endpoints that run it; nil for others.
