--- a/core/health/pace.go
+++ b/core/health/pace.go
@@ -5,57 +5,63 @@
 	"time"
 )
 
-// How the pace of an endpoint is learned.
 const (
-	// paceHalfLife is after how long an endpoint that was slow counts as half as much slower, as a power: one that
-	// took four times as long counts as twice as slow then, and gets work again when the others read a prompt.
+	// paceHalfLife is the time after which the logarithm of the factor is halved. An endpoint that
+	// took four times as long as usual then counts as twice as slow, and gets requests again while
+	// the others read a prompt.
 	paceHalfLife = 10 * time.Second
-	// paceWeight is the part of a new observation in the pace.
-	paceWeight = 0.6
-	// paceLeast and paceMost bound one observation: one that waited for a lost connection says nothing more.
-	paceLeast, paceMost = 0.5, 8.0
+	// paceObservationWeight is the weight of a new observation in the moving average of the
+	// logarithm.
+	paceObservationWeight = 0.6
+	// minPaceFactor and maxPaceFactor bound one observation. A request that waited for a lost
+	// connection may take far longer, and that says nothing about the endpoint's pace.
+	minPaceFactor, maxPaceFactor = 0.5, 8.0
 )
 
-// Pace is how long an endpoint takes, compared with what is usual. The zero value is the usual pace.
+// Pace is the latency of an endpoint relative to the usual one of its service. It decays towards 1.
+// The zero value is the usual pace.
 type Pace struct {
-	// log is the logarithm of the factor.
-	log float64
-	at  time.Time
+	// logFactor is the natural logarithm of the factor at decayedAt.
+	logFactor float64
+	decayedAt time.Time
 }
 
-// Observe takes that something took factor times as long as is usual.
+// Observe records that a request took factor times as long as usual.
 func (p *Pace) Observe(now time.Time, factor float64) {
 	p.decay(now)
-	p.log += paceWeight * (math.Log(min(max(factor, paceLeast), paceMost)) - p.log)
+	p.logFactor += paceObservationWeight * (math.Log(min(max(factor, minPaceFactor), maxPaceFactor)) - p.logFactor)
 }
 
-// AtLeast takes that something has taken factor times as long as is usual and goes on.
+// AtLeast records that a request has taken factor times as long as usual so far and is still
+// running. It can only raise the pace.
 func (p *Pace) AtLeast(now time.Time, factor float64) {
 	p.decay(now)
-	p.log = max(p.log, math.Log(min(max(factor, paceLeast), paceMost)))
+	p.logFactor = max(p.logFactor, math.Log(min(max(factor, minPaceFactor), maxPaceFactor)))
 }
 
-// Factor returns how many times as long as usual the endpoint takes.
+// Factor returns how many times as long as usual the endpoint takes, decayed to now.
 func (p *Pace) Factor(now time.Time) float64 {
 	p.decay(now)
-	return math.Exp(p.log)
+	return math.Exp(p.logFactor)
 }
 
 func (p *Pace) decay(now time.Time) {
-	p.log *= decayed(now.Sub(p.at), paceHalfLife)
-	p.at = now
+	p.logFactor *= decayFactor(now.Sub(p.decayedAt), paceHalfLife)
+	p.decayedAt = now
 }
 
-// usualStep is by how much one observation moves what is usual: fifteen of them double it.
-const usualStep = 1.05
+// baselineStep is the factor by which one observation moves the baseline. Fifteen of them double
+// it.
+const baselineStep = 1.05
 
-// Usual is the time that a unit of work usually takes at the endpoints of a service: the median, so that some
-// slow endpoints do not change it. The zero value knows nothing.
-type Usual struct{ perUnit float64 }
+// Baseline estimates the time that a unit of work usually takes at the endpoints of a service. It
+// approximates the median, so that some slow endpoints don't shift it. The zero value has no
+// estimate.
+type Baseline struct{ perUnit float64 }
 
-// Observe takes how long some units of work took. It returns how many times as long as usual that was, and false
-// where nothing is known to compare it with.
-func (u *Usual) Observe(units int, took time.Duration) (float64, bool) {
+// Observe records how long some units of work took. It returns how many times as long as usual that
+// was; false if there is no estimate to compare it with.
+func (u *Baseline) Observe(units int, took time.Duration) (float64, bool) {
 	if units <= 0 || took <= 0 {
 		return 0, false
 	}
@@ -66,23 +72,23 @@
 	}
 	factor := perUnit / u.perUnit
 	if factor > 1 {
-		u.perUnit *= usualStep
+		u.perUnit *= baselineStep
 	} else {
-		u.perUnit /= usualStep
+		u.perUnit /= baselineStep
 	}
 	return factor, true
 }
 
-// Factor returns how many times as long as usual some units of work took; false where nothing is known to compare
-// it with.
-func (u *Usual) Factor(units int, took time.Duration) (float64, bool) {
+// Factor returns how many times as long as usual some units of work took, without recording it;
+// false if there is no estimate to compare it with.
+func (u *Baseline) Factor(units int, took time.Duration) (float64, bool) {
 	if u.perUnit == 0 || units <= 0 {
 		return 0, false
 	}
 	return float64(took) / float64(units) / u.perUnit, true
 }
 
-// Expected returns how long some units of work usually take; false where nothing is known.
-func (u *Usual) Expected(units int) (time.Duration, bool) {
+// Expected returns how long some units of work usually take; false if there is no estimate.
+func (u *Baseline) Expected(units int) (time.Duration, bool) {
 	return time.Duration(u.perUnit * float64(units)), u.perUnit > 0 && units > 0
 }
--- a/core/routing/endpoint.go
+++ b/core/routing/endpoint.go
@@ -98,7 +98,7 @@
 	loadAt   time.Time // when the load was as reported
 	open     int       // requests of this instance in progress
 	recent   []change  // requests sent (+1) and finished (-1) since loadAt
-	trust    health.Trust
+	trust    health.Breaker
 	before   int             // requests in progress that were there when it failed last
 	outcomes health.Outcomes // of requests of this instance
 	pace     health.Pace     // as this instance observed it
--- a/core/routing/outcome.go
+++ b/core/routing/outcome.go
@@ -58,7 +58,7 @@
 	if own.Bad == 0 {
 		return 0
 	}
-	return health.Excess(own, v.total(now, n.Service).Sub(own))
+	return health.ExcessFailureRate(own, v.total(now, n.Service).Sub(own))
 }
 
 // Read records that an engine took some time to read prompt tokens: those of a request, and those that were ahead of
@@ -93,10 +93,10 @@
 // meanwhile, of which this instance has not heard, may be read first.
 const slowFactor = 2
 
-func (v *View) usualOf(service string) *health.Usual {
+func (v *View) usualOf(service string) *health.Baseline {
 	u := v.usual[service]
 	if u == nil {
-		u = &health.Usual{}
+		u = &health.Baseline{}
 		v.usual[service] = u
 	}
 	return u
--- a/core/routing/view.go
+++ b/core/routing/view.go
@@ -77,7 +77,7 @@
 	claiming map[string]bool      // endpoints with claims
 	ended    map[string]time.Time // endpoints that this instance found ended, and when
 	totals   map[string]totals
-	usual    map[string]*health.Usual // time to read a prompt token, by service
+	usual    map[string]*health.Baseline // time to read a prompt token, by service
 	cache    cacheIndex
 	// owned tells of which endpoints this instance hears all that others place there; nil for all.
 	owned func(id string) bool
@@ -87,7 +87,7 @@
 func NewView(s Settings) *View {
 	return &View{
 		set: s, nodes: map[string]*node{}, groups: map[groupKey][]*node{}, homes: map[string][]*node{}, peers: map[string]Told{}, claiming: map[string]bool{}, ended: map[string]time.Time{},
-		totals: map[string]totals{}, usual: map[string]*health.Usual{}, cache: newCacheIndex(s.CacheEntries, s.CacheTTL),
+		totals: map[string]totals{}, usual: map[string]*health.Baseline{}, cache: newCacheIndex(s.CacheEntries, s.CacheTTL),
 	}
 }
 
@@ -145,7 +145,7 @@
 func (v *View) Forget(id string) {
 	if n := v.nodes[id]; n != nil {
 		n.leaving, n.lost = false, false
-		n.trust.Forget()
+		n.trust.Reset()
 		n.outcomes, n.pace = health.Outcomes{}, health.Pace{}
 		v.CacheLost(id)
 	}
@@ -220,7 +220,7 @@
 		return
 	}
 	n.before, n.failedAt = n.open, now
-	n.trust.Failed(now, health.TrustSettings{First: v.set.SuspectFirst, Most: v.set.SuspectMost})
+	n.trust.Failed(now, health.BreakerSettings{MinPause: v.set.SuspectFirst, MaxPause: v.set.SuspectMost})
 	v.doubt.stale = true
 }
 
