--- a/gateway/forward/copies.go
+++ b/gateway/forward/copies.go
@@ -40,9 +40,9 @@
 }
 
 func (s *session) copySettings() copies.Settings {
-	set := copies.Settings{Retry: copyRetry}
+	set := copies.Settings{RetryDelay: copyRetry}
 	if e := s.engine(); e != nil && e.Asked && !s.f.Settings.Without.Copies {
-		set.Renew = e.CopyKept / renewParts
+		set.RefreshInterval = e.CopyKept / renewParts
 	}
 	return set
 }
@@ -53,15 +53,15 @@
 	now := time.Now()
 	engine := s.engine()
 	if engine == nil || !engine.Copies || s.f.Settings.Without.Copies {
-		s.copies.Begin(now, copies.Holder{})
+		s.copies.RunStarted(now, copies.Holder{})
 		return ""
 	}
 	at := s.pickCopy(e)
 	if at == nil {
-		s.copies.Begin(now, copies.Holder{})
+		s.copies.RunStarted(now, copies.Holder{})
 		return ""
 	}
-	s.copies.Begin(now, copies.Holder{Endpoint: at.ID, Address: at.Address})
+	s.copies.RunStarted(now, copies.Holder{Endpoint: at.ID, Address: at.Address})
 	s.account(at.ID)
 	return at.Address
 }
@@ -122,9 +122,9 @@
 
 // dropCopy forgets the copy of a run that did not begin.
 func (s *session) dropCopy() {
-	s.copies.Stop()
+	s.copies.RunEnded()
 	if h, ok := s.copies.Holder(); ok {
-		s.copies.Lost(time.Now(), h.Endpoint)
+		s.copies.EngineLost(time.Now(), h.Endpoint)
 	}
 	s.account("")
 }
@@ -134,7 +134,7 @@
 func (s *session) restoreCopy(from copies.Holder) {
 	s.dropCopy()
 	if from != (copies.Holder{}) {
-		s.copies.Begin(time.Now(), from)
+		s.copies.RunStarted(time.Now(), from)
 		s.account(from.Endpoint)
 	}
 }
@@ -145,7 +145,7 @@
 		s.checkedAt = now
 		if h, ok := s.copies.Holder(); ok && !s.f.Placement.Usable(h.Endpoint) {
 			s.f.Log.Decision(s.req.ID, "copy lost", logrus.Fields{"endpoint": h.Endpoint, "events": s.relayed})
-			s.copies.Lost(now, h.Endpoint)
+			s.copies.EngineLost(now, h.Endpoint)
 			s.account("")
 		}
 		s.followRollout(now)
@@ -165,11 +165,11 @@
 }
 
 // copy asks the engine of an attempt for a copy of its memory.
-func (s *session) copy(a *attempt, c copies.Copy) {
+func (s *session) copy(a *attempt, c copies.Request) {
 	to := s.copyTarget(a, c)
 	if to == nil {
-		s.f.Log.Decision(s.req.ID, "no engine for a copy", logrus.Fields{"endpoint": a.endpoint.ID, "events": s.relayed, "to": c.To})
-		s.copies.Copied(time.Now(), copies.Holder{})
+		s.f.Log.Decision(s.req.ID, "no engine for a copy", logrus.Fields{"endpoint": a.endpoint.ID, "events": s.relayed, "to": c.Target})
+		s.copies.CopyEnded(time.Now(), copies.Holder{})
 		return
 	}
 	go func() {
@@ -186,11 +186,11 @@
 
 // copyTarget returns the engine to copy to: the one that holds a copy already, since only what is new
 // moves there, or another one.
-func (s *session) copyTarget(a *attempt, c copies.Copy) *routing.Endpoint {
-	if c.To == "" {
+func (s *session) copyTarget(a *attempt, c copies.Request) *routing.Endpoint {
+	if c.Target == "" {
 		return s.pickCopy(&a.endpoint)
 	}
-	e, ok := s.f.Placement.Get(c.To)
+	e, ok := s.f.Placement.Get(c.Target)
 	if !ok {
 		return nil
 	}
@@ -215,7 +215,7 @@
 		return
 	}
 	s.f.Log.Decision(s.req.ID, "copied", logrus.Fields{"from": m.endpoint, "to": m.holder.Endpoint, "events": s.relayed, "error": errorText(m.err)})
-	s.copies.Copied(now, m.holder)
+	s.copies.CopyEnded(now, m.holder)
 	s.account(m.holder.Endpoint)
 }
 
--- a/gateway/forward/rollouts.go
+++ b/gateway/forward/rollouts.go
@@ -91,7 +91,7 @@
 	h, copied := s.copies.Holder()
 	if e, known := s.f.Placement.Get(h.Endpoint); copied && known {
 		if builds := s.f.Rollouts.CopyBuilds(s.req.service); !builds.Allow(&e) {
-			s.copies.Move(now)
+			s.copies.HolderStopping(now)
 			s.account("")
 			copied = false
 		}
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -34,7 +34,7 @@
 	relayed   int
 	// copies knows where a copy of the memory of the run is kept, copyAt is the engine for which it is
 	// accounted, and checkedAt when that engine was last looked at.
-	copies    *copies.Keeper
+	copies    *copies.Tracker
 	copyAt    string
 	checkedAt time.Time
 	// last is an engine's own failure, passed on when no other does better.
--- a/gateway/forward/session_test.go
+++ b/gateway/forward/session_test.go
@@ -68,7 +68,7 @@
 			s := &session{f: f, req: &request{route: &route.Route{Attempts: 5}}, copies: copies.New(copies.Settings{}), attempts: map[int]*attempt{}, relayed: 3}
 			s.machine = generation.New(s.config(), generation.Origin{}, true, 0, now, now.Add(time.Minute))
 			s.attempts[1] = &attempt{session: s, number: 1, endpoint: routing.Endpoint{ID: "e2"}, from: tt.from, cancel: func() {}}
-			s.copies.Begin(now, chosen)
+			s.copies.RunStarted(now, chosen)
 			s.account(chosen.Endpoint)
 			s.failed(now, message{attempt: 1, endpoint: "e2", failure: tt.failure})
 			holder, ok := s.copies.Holder()
