--- a/cli/bench/memory_bench_test.go
+++ b/cli/bench/memory_bench_test.go
@@ -95,7 +95,7 @@
 		{"member", 400, func(n int) any {
 			node := membership.New(membership.DefaultSettings(), membership.Member{ID: "self"}, rand.New(rand.NewPCG(1, 1)))
 			for i := range n {
-				node.Seed(now, membership.Member{ID: fmt.Sprintf("entry-%03d", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Peer: fmt.Sprintf("10.0.%d.%d:81", i/250, i%250), DataCentre: "hall-1"})
+				node.Seed(now, membership.Member{ID: fmt.Sprintf("entry-%03d", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), PeerAddress: fmt.Sprintf("10.0.%d.%d:81", i/250, i%250), DataCentre: "hall-1"})
 			}
 			node.Tick(now)
 			return node
--- a/core/membership/entry.go
+++ b/core/membership/entry.go
@@ -5,13 +5,14 @@
 	"sort"
 )
 
-// loadStep is the difference in open requests that counts when entry addresses are
-// ranked; below it chance decides, so that callers spread.
-const loadStep = 8
+// loadStepRequests is the size of the load classes, in open requests, by which entry addresses are
+// ranked. Members of one class are in random order, so that callers spread over them.
+const loadStepRequests = 8
 
-// Entry returns the members that callers should use, best first: alive and not leaving,
-// those of the caller's data centre first, then by load; equals in random order.
-func Entry(members []Member, dataCentre string, rnd *rand.Rand) []Member {
+// EntryMembers returns the members that callers should use: those that are alive and not leaving.
+// Members of the caller's data centre come first, then those with less load; equal ones are in
+// random order.
+func EntryMembers(members []Member, dataCentre string, rnd *rand.Rand) []Member {
 	var out []Member
 	for _, m := range members {
 		if m.State == Alive && !m.Leaving {
@@ -21,10 +22,10 @@
 	rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	sort.SliceStable(out, func(i, j int) bool {
 		a, b := &out[i], &out[j]
-		if near := a.DataCentre == dataCentre; near != (b.DataCentre == dataCentre) {
-			return near
+		if aLocal := a.DataCentre == dataCentre; aLocal != (b.DataCentre == dataCentre) {
+			return aLocal
 		}
-		return a.Open/loadStep < b.Open/loadStep
+		return a.OpenRequests/loadStepRequests < b.OpenRequests/loadStepRequests
 	})
 	return out
 }
--- a/core/membership/member.go
+++ b/core/membership/member.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// State is what is believed of a member.
+// State is the believed state of a member.
 type State int
 
-// States, in the order in which they override each other under one incarnation.
+// States. Under one incarnation, a higher value overrides a lower one.
 const (
 	Alive State = iota
 	Suspect
@@ -15,37 +15,40 @@
 // String returns the state's name.
 func (s State) String() string { return [...]string{"alive", "suspect", "dead"}[s] }
 
-// Member is one instance.
+// Member describes one instance. All fields but State are set by the instance itself, or by the
+// list that named it.
 type Member struct {
 	ID, DataCentre, Region string
-	// Address is for callers, Peer for other instances.
-	Address, Peer string
-	// Process is drawn at random at start; it names one run of the instance.
+	// Address is the host:port for callers, PeerAddress that for other instances.
+	Address, PeerAddress string
+	// Process is a random number that identifies one run of the instance.
 	Process uint64
-	// Incarnation orders what is said of the member; only the member raises it.
+	// Incarnation orders updates about the member. Only the member raises it. 0 if nothing was
+	// heard of it yet.
 	Incarnation uint64
 	State       State
-	// Leaving members take no new work. It is said by the member itself.
+	// Leaving is set if the member takes no new requests.
 	Leaving bool
-	// Ready members may be given to callers. Store is what the member says of its access to the platform's store. Both
-	// are said by the member itself.
+	// Ready is set if callers may be sent to the member. Store is its access to the platform's
+	// store, as a value of the caller of this package.
 	Ready bool
 	Store int
-	// Link is the bandwidth of its network link in Mbit/s; 0 for unknown.
-	Link int
-	// Beat orders the figures below under one incarnation.
-	Beat uint32
-	// Open is the number of requests in progress.
-	Open uint32
-	// Configuration is the digest of the configuration in force.
-	Configuration uint64
+	// LinkMbps is the bandwidth of its network link in Mbit/s; 0 if unknown.
+	LinkMbps int
+	// StatsVersion orders the statistics below under one incarnation.
+	StatsVersion uint32
+	// OpenRequests is the number of requests in progress.
+	OpenRequests uint32
+	// ConfigDigest is the digest of the configuration in force.
+	ConfigDigest uint64
 }
 
-// Heard tells whether anything was heard of a member; others are only named by a list.
-func (m *Member) Heard() bool { return m.Incarnation > 0 }
+// HasReported reports whether anything was heard of the member. If not, it is only known from a
+// list.
+func (m *Member) HasReported() bool { return m.Incarnation > 0 }
 
-// overrides tells whether news a of a member replaces what is known, b.
-func (a *Member) overrides(b *Member) bool {
+// supersedes reports whether an update a about a member replaces the known entry b.
+func (a *Member) supersedes(b *Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
@@ -55,42 +58,47 @@
 	return a.Leaving && !b.Leaving
 }
 
-// fresher tells whether only the figures of a are newer.
-func (a *Member) fresher(b *Member) bool {
-	return a.Incarnation == b.Incarnation && a.Beat > b.Beat
+// hasNewerStats reports whether a has newer statistics under the same incarnation.
+func (a *Member) hasNewerStats(b *Member) bool {
+	return a.Incarnation == b.Incarnation && a.StatsVersion > b.StatsVersion
 }
 
-// Settings of a node. The zero value is not usable; see [DefaultSettings].
+// Settings configure a [Node]. The zero value is not usable; see [DefaultSettings].
 type Settings struct {
-	// Interval is the time between two pings of a node.
+	// Interval is the time between two pings by a node.
 	Interval time.Duration
-	// Indirect is how many others are asked to ping a member that did not answer.
-	Indirect int
-	// SuspectRounds times the interval times the logarithm of the members is how long
-	// a member is suspected before it is taken for dead.
-	SuspectRounds float64
-	// Updates bounds the members told in one message.
-	Updates int
-	// Repeats times the logarithm of the members is how often one item of news is told.
-	Repeats float64
-	// KeepDead is how long a dead member is remembered and pinged now and then.
-	KeepDead time.Duration
-	// DeadEvery is how many intervals lie between pings to dead members.
-	DeadEvery int
-	// Firsthand tells that members tell all others directly when they change, and again while they are not answered. That one is
-	// alive is then passed on only once, for those that lost the direct message: when 1,000 members start at once, passing each on
-	// several times takes a minute.
-	Firsthand bool
-	// Repair: one message in so many tells of one more member, drawn at random. It makes good news that was lost.
-	Repair int
-	// SlowFrom is the number of members from which the interval grows and a message tells fewer members; 0 for never.
-	SlowFrom int
+	// IndirectPings is the number of other members that are asked to ping a member that did not
+	// answer.
+	IndirectPings int
+	// SuspicionFactor times the interval, times the binary logarithm of the number of members, is
+	// how long a member is suspected before it is declared dead.
+	SuspicionFactor float64
+	// MaxUpdates bounds the entries in one message.
+	MaxUpdates int
+	// RetransmitFactor times the binary logarithm of the number of members is how often a node
+	// sends one update.
+	RetransmitFactor float64
+	// DeadRetention is how long a dead member is kept and pinged now and then.
+	DeadRetention time.Duration
+	// DeadPingIntervals is the number of intervals from one ping of a dead member to the next.
+	DeadPingIntervals int
+	// DirectUpdates is set if members send their changes directly to all others, and again until
+	// they are answered. An update that a member is alive is then passed on only once, for those
+	// that lost the direct message. When 1,000 members start at once, passing each on several times
+	// takes a minute.
+	DirectUpdates bool
+	// RepairEvery is the number of messages of which one carries one more member, taken from the
+	// shuffled ping order. It repairs the loss of updates.
+	RepairEvery int
+	// SlowdownSize is the number of members from which on the interval grows and a message carries
+	// fewer entries; 0 for never.
+	SlowdownSize int
 }
 
 // DefaultSettings returns the settings used by the daemon.
 func DefaultSettings() Settings {
 	return Settings{
-		Interval: 500 * time.Millisecond, Indirect: 2, SuspectRounds: 2, Updates: 6,
-		Repeats: 3, KeepDead: 2 * time.Hour, DeadEvery: 5, Repair: 1, SlowFrom: 128,
+		Interval: 500 * time.Millisecond, IndirectPings: 2, SuspicionFactor: 2, MaxUpdates: 6,
+		RetransmitFactor: 3, DeadRetention: 2 * time.Hour, DeadPingIntervals: 5, RepairEvery: 1, SlowdownSize: 128,
 	}
 }
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -11,8 +11,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// net carries pings between nodes in one loop; time passes by intervals.
-type net struct {
+// network delivers pings between nodes in one goroutine. Time advances by intervals.
+type network struct {
 	now   time.Time
 	set   Settings
 	nodes map[string]*Node
@@ -23,28 +23,28 @@
 	pings int
 }
 
-func newNet(n int) *net {
-	w := &net{now: epoch, set: DefaultSettings(), nodes: map[string]*Node{}, rnd: rand.New(rand.NewPCG(1, 2)), cut: func(string, string) bool { return false }}
+func newNetwork(n int) *network {
+	w := &network{now: epoch, set: DefaultSettings(), nodes: map[string]*Node{}, rnd: rand.New(rand.NewPCG(1, 2)), cut: func(string, string) bool { return false }}
 	for i := range n {
 		w.add(i)
 	}
 	return w
 }
 
-func (w *net) add(i int) *Node {
+func (w *network) add(i int) *Node {
 	id := fmt.Sprintf("n%03d", i)
-	m := Member{ID: id, Peer: id, Address: id, DataCentre: fmt.Sprint("dc", i%3), Process: uint64(i + 1), Incarnation: uint64(w.now.UnixNano())}
+	m := Member{ID: id, PeerAddress: id, Address: id, DataCentre: fmt.Sprint("dc", i%3), Process: uint64(i + 1), Incarnation: uint64(w.now.UnixNano())}
 	if w.nodes[id] == nil {
 		w.ids = append(w.ids, id)
 	}
 	w.nodes[id] = New(w.set, m, rand.New(rand.NewPCG(uint64(i), 9)))
 	if i > 0 {
-		w.nodes[id].Seed(w.now, Member{ID: "n000", Peer: "n000"})
+		w.nodes[id].Seed(w.now, Member{ID: "n000", PeerAddress: "n000"})
 	}
 	return w.nodes[id]
 }
 
-func (w *net) exchange(a, b string) bool {
+func (w *network) exchange(a, b string) bool {
 	w.pings++
 	from, to := w.nodes[a], w.nodes[b]
 	if to == nil || w.cut(a, b) || w.rnd.Float64() < w.loss {
@@ -58,7 +58,7 @@
 	return true
 }
 
-func (w *net) do(id string, a Action) {
+func (w *network) carryOut(id string, a Action) {
 	n := w.nodes[id]
 	switch a := a.(type) {
 	case Ping:
@@ -67,7 +67,7 @@
 			return
 		}
 		for _, next := range n.Missed(w.now, a.To.ID) {
-			w.do(id, next)
+			w.carryOut(id, next)
 		}
 	case IndirectPing:
 		if w.exchange(id, a.Via.ID) && w.exchange(a.Via.ID, a.Target.ID) {
@@ -78,21 +78,22 @@
 	}
 }
 
-func (w *net) round() {
+func (w *network) round() {
 	w.now = w.now.Add(w.set.Interval)
 	for _, id := range w.ids {
 		if n := w.nodes[id]; n != nil {
-			n.SetFigures(0, 0)
+			n.SetStats(0, 0)
 			for _, a := range n.Tick(w.now) {
-				w.do(id, a)
+				w.carryOut(id, a)
 			}
 		}
 	}
 }
 
-// rounds passes intervals until all nodes agree, and returns how many; -1 for never.
-func (w *net) until(most int, agreed func(*Node) bool) int {
-	for r := range most {
+// roundsUntil advances intervals until the predicate holds at all nodes, and returns how many it
+// took; -1 if more than limit.
+func (w *network) roundsUntil(limit int, agreed func(*Node) bool) int {
+	for r := range limit {
 		all := true
 		for _, n := range w.nodes {
 			if n != nil && !agreed(n) {
@@ -107,7 +108,7 @@
 	return -1
 }
 
-func alive(n *Node) int {
+func countAlive(n *Node) int {
 	c := 0
 	for _, m := range n.Members() {
 		if m.State == Alive {
@@ -117,84 +118,89 @@
 	return c
 }
 
-func sees(id string, s State) func(*Node) bool {
+func believes(id string, s State) func(*Node) bool {
 	return func(n *Node) bool {
 		m, ok := n.Get(id)
 		return ok && m.State == s
 	}
 }
 
-func TestAllFindEachOtherThroughOneSeed(t *testing.T) {
+func TestAllDiscoverEachOtherFromOneSeed(t *testing.T) {
 	for _, size := range []int{3, 9, 50} {
-		w := newNet(size)
-		r := w.until(60, func(n *Node) bool { return alive(n) == size })
-		assert.Assert(t, r >= 0, "%d never met", size)
+		w := newNetwork(size)
+		r := w.roundsUntil(60, func(n *Node) bool { return countAlive(n) == size })
+		assert.Assert(t, r >= 0, "%d nodes did not discover each other", size)
 	}
 }
 
-func TestDeathIsNoticedSuspectedFirst(t *testing.T) {
-	w := newNet(9)
-	w.until(60, func(n *Node) bool { return alive(n) == 9 })
+func TestFailureIsSuspectedBeforeDead(t *testing.T) {
+	w := newNetwork(9)
+	w.roundsUntil(60, func(n *Node) bool { return countAlive(n) == 9 })
 	w.nodes["n004"] = nil
-	suspected := w.until(20, func(n *Node) bool { m, _ := n.Get("n004"); return m.State != Alive })
-	assert.Assert(t, suspected >= 0 && suspected <= 8, "left out after %d intervals", suspected)
-	dead := w.until(30, sees("n004", Dead))
-	assert.Assert(t, dead >= 1, "dead after %d intervals", dead)
+	suspected := w.roundsUntil(20, func(n *Node) bool { m, _ := n.Get("n004"); return m.State != Alive })
+	assert.Assert(t, suspected >= 0 && suspected <= 8, "suspected after %d intervals", suspected)
+	dead := w.roundsUntil(30, believes("n004", Dead))
+	assert.Assert(t, dead >= 1, "declared dead after %d intervals", dead)
 }
 
-func TestLossDoesNotKill(t *testing.T) {
-	w := newNet(9)
-	w.until(60, func(n *Node) bool { return alive(n) == 9 })
+// TestMessageLossDeclaresNobodyDead checks that nobody is declared dead while a tenth of the
+// messages is lost.
+func TestMessageLossDeclaresNobodyDead(t *testing.T) {
+	w := newNetwork(9)
+	w.roundsUntil(60, func(n *Node) bool { return countAlive(n) == 9 })
 	w.loss = 0.1
 	for range 500 {
 		w.round()
 		for _, n := range w.nodes {
 			for _, m := range n.Members() {
-				assert.Assert(t, m.State != Dead, "%s is taken for dead", m.ID)
+				assert.Assert(t, m.State != Dead, "%s is declared dead", m.ID)
 			}
 		}
 	}
 }
 
-func TestPartitionHealsWithoutOperators(t *testing.T) {
-	w := newNet(9)
-	w.until(60, func(n *Node) bool { return alive(n) == 9 })
+// TestPartitionHeals checks that both sides of a partition of an hour find each other again without
+// an operator.
+func TestPartitionHeals(t *testing.T) {
+	w := newNetwork(9)
+	w.roundsUntil(60, func(n *Node) bool { return countAlive(n) == 9 })
 	side := func(id string) bool { return id < "n004" }
 	w.cut = func(a, b string) bool { return side(a) != side(b) }
-	r := w.until(100, func(n *Node) bool {
+	r := w.roundsUntil(100, func(n *Node) bool {
 		if side(n.Self().ID) {
-			return alive(n) == 4
+			return countAlive(n) == 4
 		}
-		return alive(n) == 5
+		return countAlive(n) == 5
 	})
-	assert.Assert(t, r >= 0, "the sides did not part")
+	assert.Assert(t, r >= 0, "the sides still see each other as alive")
 	for range 3600 * 2 { // an hour
 		w.round()
 	}
 	w.cut = func(string, string) bool { return false }
-	r = w.until(120, func(n *Node) bool { return alive(n) == 9 })
-	assert.Assert(t, r >= 0 && r <= 40, "together again after %d intervals", r)
+	r = w.roundsUntil(120, func(n *Node) bool { return countAlive(n) == 9 })
+	assert.Assert(t, r >= 0 && r <= 40, "healed after %d intervals", r)
 }
 
-func TestLeavingSpreads(t *testing.T) {
-	w := newNet(9)
-	w.until(60, func(n *Node) bool { return alive(n) == 9 })
+func TestLeavingPropagates(t *testing.T) {
+	w := newNetwork(9)
+	w.roundsUntil(60, func(n *Node) bool { return countAlive(n) == 9 })
 	w.nodes["n003"].Leave()
-	r := w.until(20, func(n *Node) bool { m, _ := n.Get("n003"); return m.Leaving })
+	r := w.roundsUntil(20, func(n *Node) bool { m, _ := n.Get("n003"); return m.Leaving })
 	assert.Assert(t, r >= 0 && r <= 8, "known after %d intervals", r)
 	for _, n := range w.nodes {
-		for _, m := range Entry(n.Members(), "dc0", w.rnd) {
+		for _, m := range EntryMembers(n.Members(), "dc0", w.rnd) {
 			assert.Assert(t, m.ID != "n003")
 		}
 	}
 }
 
-// TestStartIsPassedOnOnce: hundreds of members start at once, and tell each other directly. Whoever heard of one from a third first does not
-// tell all the others of it again and again.
-func TestStartIsPassedOnOnce(t *testing.T) {
+// TestAliveUpdateIsPassedOnOnce checks that with direct updates a node passes on only once that a
+// member is alive. When hundreds of members start at once, passing each on several times delays
+// discovery.
+func TestAliveUpdateIsPassedOnOnce(t *testing.T) {
 	const size = 40
 	set := DefaultSettings()
-	set.Firsthand, set.Repair = true, 1<<30
+	set.DirectUpdates, set.RepairEvery = true, 1<<30
 	n := New(set, Member{ID: "self", Incarnation: 1}, rand.New(rand.NewPCG(1, 1)))
 	news := []Member{{ID: "n", Incarnation: 1}}
 	for i := range size {
@@ -211,22 +217,24 @@
 	for i := range size {
 		assert.Equal(t, told[fmt.Sprint("m", i)], 1)
 	}
-	assert.Assert(t, told["lost"] > 5, "a loss is found by one, who may not reach all: told %d times", told["lost"])
+	assert.Assert(t, told["lost"] > 5, "the loss of a member has to be passed on several times, since one node finds it out: %d times", told["lost"])
 }
 
-func TestReplacedInstanceTakesItsPlace(t *testing.T) {
-	w := newNet(9)
-	w.until(60, func(n *Node) bool { return alive(n) == 9 })
+// TestRestartWithOlderIncarnation checks that an instance that starts again with its clock set
+// back, and so under an older incarnation, is alive again to all.
+func TestRestartWithOlderIncarnation(t *testing.T) {
+	w := newNetwork(9)
+	w.roundsUntil(60, func(n *Node) bool { return countAlive(n) == 9 })
 	w.nodes["n004"] = nil
-	w.until(60, sees("n004", Dead))
+	w.roundsUntil(60, believes("n004", Dead))
 	fresh := w.add(4)
 	fresh.self.Process = 77
-	fresh.self.Incarnation = 1 // its clock is behind
-	r := w.until(60, func(n *Node) bool { m, _ := n.Get("n004"); return m.State == Alive && m.Process == 77 })
+	fresh.self.Incarnation = 1 // its clock was set back
+	r := w.roundsUntil(60, func(n *Node) bool { m, _ := n.Get("n004"); return m.State == Alive && m.Process == 77 })
 	assert.Assert(t, r >= 0)
 }
 
-func TestMemberRefutesWhatIsNotSo(t *testing.T) {
+func TestMemberRefutesWrongUpdates(t *testing.T) {
 	n := New(DefaultSettings(), Member{ID: "a", Process: 1, Incarnation: 5}, rand.New(rand.NewPCG(1, 1)))
 	for _, wrong := range []Member{
 		{ID: "a", Process: 1, Incarnation: 5, State: Suspect},
@@ -236,11 +244,11 @@
 		n.Receive(epoch, []Member{wrong})
 		assert.Equal(t, n.Self().Incarnation, wrong.Incarnation+1)
 	}
-	n.Receive(epoch, []Member{{ID: "a", Process: 2, Incarnation: 3, State: Dead}}) // old news
+	n.Receive(epoch, []Member{{ID: "a", Process: 2, Incarnation: 3, State: Dead}}) // outdated
 	assert.Equal(t, n.Self().Incarnation, uint64(11))
 }
 
-func TestNewsOrder(t *testing.T) {
+func TestSupersedes(t *testing.T) {
 	known := Member{ID: "b", Incarnation: 5, State: Suspect}
 	for name, c := range map[string]struct {
 		news Member
@@ -253,20 +261,20 @@
 		"alive, higher incarnation": {Member{Incarnation: 6}, true},
 		"leaving":                   {Member{Incarnation: 5, State: Suspect, Leaving: true}, true},
 	} {
-		assert.Equal(t, c.news.overrides(&known), c.want, name)
+		assert.Equal(t, c.news.supersedes(&known), c.want, name)
 	}
 }
 
-func TestEntryRanksAndSpreads(t *testing.T) {
+func TestEntryMembersRanksAndSpreads(t *testing.T) {
 	members := []Member{
-		{ID: "far", DataCentre: "x"}, {ID: "dead", DataCentre: "y", State: Dead}, {ID: "busy", DataCentre: "y", Open: 100},
+		{ID: "far", DataCentre: "x"}, {ID: "dead", DataCentre: "y", State: Dead}, {ID: "busy", DataCentre: "y", OpenRequests: 100},
 		{ID: "suspect", DataCentre: "y", State: Suspect}, {ID: "leaving", DataCentre: "y", Leaving: true},
-		{ID: "a", DataCentre: "y", Open: 1}, {ID: "b", DataCentre: "y", Open: 2},
+		{ID: "a", DataCentre: "y", OpenRequests: 1}, {ID: "b", DataCentre: "y", OpenRequests: 2},
 	}
 	first := map[string]int{}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
-		out := Entry(members, "y", rnd)
+		out := EntryMembers(members, "y", rnd)
 		assert.Equal(t, len(out), 4)
 		assert.Equal(t, out[2].ID, "busy")
 		assert.Equal(t, out[3].ID, "far")
@@ -275,13 +283,13 @@
 	assert.Assert(t, first["a"] > 400 && first["b"] > 400, "%v", first)
 }
 
-// BenchmarkInterval measures one node's interval: its own ping, and the answer to one of
-// another's.
+// BenchmarkInterval measures one interval of a node: its own ping, and the answer to one of
+// another node.
 func BenchmarkInterval(b *testing.B) {
 	for _, size := range []int{9, 50, 400} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			w := newNet(size)
-			w.until(200, func(n *Node) bool { return alive(n) == size })
+			w := newNetwork(size)
+			w.roundsUntil(200, func(n *Node) bool { return countAlive(n) == size })
 			w.pings = 0
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/membership/node.go
+++ b/core/membership/node.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Action is something the caller has to carry out: [Ping] or [IndirectPing].
+// Action is a step for the caller to carry out: [Ping] or [IndirectPing].
 type Action interface{ action() }
 
-// Ping asks to ping a member, and to report [Node.Answered] or [Node.Missed].
+// Ping asks the caller to ping To, and to report the result with [Node.Answered] or [Node.Missed].
 type Ping struct{ To Member }
 
-// IndirectPing asks Via to ping Target, and to report [Node.Answered] or
-// [Node.MissedIndirect].
+// IndirectPing asks the caller to have Via ping Target, and to report the result with
+// [Node.Answered] or [Node.MissedIndirect].
 type IndirectPing struct{ Via, Target Member }
 
 func (Ping) action()         {}
 func (IndirectPing) action() {}
 
-// Change is a change of state of a member.
+// Change is a change of the state of a member. Before is [Dead] for a member that was not known, or
+// only from a list.
 type Change struct {
 	Member Member
 	Before State
@@ -29,57 +30,60 @@
 
 type record struct {
 	Member
-	since time.Time // of the state
-	// toTell is how often the member is still to be told of.
-	toTell int
-	// behind tells that an older incarnation was heard than is known. The member itself may have told it, after a start
-	// while its clock was set back, so the next message to it tells the known one.
-	behind bool
+	since time.Time // when the state was entered
+	// transmitsLeft is how often an update about the member is still to be sent.
+	transmitsLeft int
+	// maybeOutdated is set after an update with an older incarnation than the known one. The member
+	// itself may have sent it, after a start with its clock set back, so the next message to it
+	// carries the known entry.
+	maybeOutdated bool
 }
 
-// Node is one instance's view of the members.
+// Node is the view that one instance has of the members.
 type Node struct {
-	set     Settings
-	self    Member
-	members map[string]*record // without self
-	round   []string
-	next    int
-	ticks   int
-	pending map[string]int // indirect pings that are out, by target
-	news    []string       // members with news to tell, those to be told most often first
-	changes []Change
-	version uint64
+	set             Settings
+	self            Member
+	members         map[string]*record // without self
+	pingOrder       []string
+	nextPing        int
+	ticks           int
+	pendingIndirect map[string]int // number of indirect pings in progress, by target
+	updateQueue     []string       // members with updates to send, the one with the most transmits left first
+	changes         []Change
+	version         uint64
 	// messages counts the calls of Updates.
 	messages int
 	rnd      *rand.Rand
 }
 
-// New returns a node that knows only itself. incarnation has to rise from one start
-// to the next where possible; the time in nanoseconds will do.
+// New returns a node that knows only itself. The incarnation of self should rise from one start of
+// the instance to the next; the time in nanoseconds will do.
 func New(set Settings, self Member, rnd *rand.Rand) *Node {
-	return &Node{set: set, self: self, members: map[string]*record{}, pending: map[string]int{}, rnd: rnd}
+	return &Node{set: set, self: self, members: map[string]*record{}, pendingIndirect: map[string]int{}, rnd: rnd}
 }
 
 // Self returns the node's own entry.
 func (n *Node) Self() Member { return n.self }
 
-// SetFigures sets what the node tells of itself.
-func (n *Node) SetFigures(open uint32, configuration uint64) {
-	n.self.Beat++
-	n.self.Open, n.self.Configuration = open, configuration
+// SetStats sets the node's own number of open requests and configuration digest.
+func (n *Node) SetStats(open uint32, configuration uint64) {
+	n.self.StatsVersion++
+	n.self.OpenRequests, n.self.ConfigDigest = open, configuration
 }
 
-// Leave makes the node say that it takes no new work.
+// Leave marks the node as leaving, under a new incarnation: it takes no new requests.
 func (n *Node) Leave() {
 	n.self.Leaving = true
 	n.self.Incarnation++
 }
 
-// SetIncarnation sets the node's own incarnation, for a process whose clock was set back.
+// SetIncarnation sets the node's own incarnation, for a process that starts with its clock set
+// back.
 func (n *Node) SetIncarnation(i uint64) { n.self.Incarnation = i }
 
-// Say sets what the node says of itself, and tells whether that is news.
-func (n *Node) Say(ready bool, store int) bool {
+// SetReadiness sets the node's own readiness and access to the store. It raises the incarnation and
+// returns true if that is a change.
+func (n *Node) SetReadiness(ready bool, store int) bool {
 	if n.self.Ready == ready && n.self.Store == store {
 		return false
 	}
@@ -88,10 +92,11 @@
 	return true
 }
 
-// Version changes with each change of what is believed of other members, but for their figures.
+// Version returns a number that changes with each change to the entries of other members, except
+// for their statistics.
 func (n *Node) Version() uint64 { return n.version }
 
-// Seed adds a member that a list names, unless it is known.
+// Seed adds a member that a list names, unless it is known already.
 func (n *Node) Seed(now time.Time, m Member) {
 	if m.ID == n.self.ID || n.members[m.ID] != nil {
 		return
@@ -100,7 +105,7 @@
 	n.version++
 }
 
-// Members returns all members and the node itself, by id.
+// Members returns all members, including the node itself, ordered by id.
 func (n *Node) Members() []Member {
 	out := make([]Member, 0, len(n.members)+1)
 	out = append(out, n.self)
@@ -111,13 +116,13 @@
 	return out
 }
 
-// Others returns all members but the node itself, by id.
+// Others returns all members except the node itself, ordered by id.
 func (n *Node) Others() []Member {
 	return slices.DeleteFunc(n.Members(), func(m Member) bool { return m.ID == n.self.ID })
 }
 
-// Any tells whether any other member fits.
-func (n *Node) Any(fits func(*Member) bool) bool {
+// AnyOther reports whether any other member satisfies the predicate.
+func (n *Node) AnyOther(fits func(*Member) bool) bool {
 	for _, r := range n.members {
 		if fits(&r.Member) {
 			return true
@@ -126,7 +131,7 @@
 	return false
 }
 
-// Get returns a member.
+// Get returns a member, or the node itself; false if the id is unknown.
 func (n *Node) Get(id string) (Member, bool) {
 	if id == n.self.ID {
 		return n.self, true
@@ -145,27 +150,29 @@
 	return out
 }
 
-// Tick lets one interval pass.
+// Tick ends one interval, and returns the pings to send. It declares members dead that were
+// suspected for too long.
 func (n *Node) Tick(now time.Time) []Action {
 	n.ticks++
 	n.expire(now)
 	var out []Action
-	if m, ok := n.pick(false); ok {
+	if m, ok := n.nextMember(false); ok {
 		out = append(out, Ping{m})
 	}
-	if n.ticks%max(n.set.DeadEvery, 1) == 0 {
-		if m, ok := n.pickDead(); ok {
+	if n.ticks%max(n.set.DeadPingIntervals, 1) == 0 {
+		if m, ok := n.randomDead(); ok {
 			out = append(out, Ping{m})
 		}
 	}
 	return out
 }
 
-// pick returns the next member of the round that is not dead.
-func (n *Node) pick(reshuffled bool) (Member, bool) {
-	for n.next < len(n.round) {
-		r := n.members[n.round[n.next]]
-		n.next++
+// nextMember returns the next member of the ping order that is not dead; false if there is none. It
+// reshuffles the order once it is used up.
+func (n *Node) nextMember(reshuffled bool) (Member, bool) {
+	for n.nextPing < len(n.pingOrder) {
+		r := n.members[n.pingOrder[n.nextPing]]
+		n.nextPing++
 		if r != nil && r.State != Dead {
 			return r.Member, true
 		}
@@ -173,25 +180,25 @@
 	if reshuffled {
 		return Member{}, false
 	}
-	n.round = n.round[:0]
+	n.pingOrder = n.pingOrder[:0]
 	for id := range n.members {
-		n.round = append(n.round, id)
+		n.pingOrder = append(n.pingOrder, id)
 	}
-	sort.Strings(n.round) // map order is not the seeded one
-	n.rnd.Shuffle(len(n.round), func(i, j int) { n.round[i], n.round[j] = n.round[j], n.round[i] })
-	n.next = 0
-	return n.pick(true)
+	sort.Strings(n.pingOrder) // map order would make the shuffle depend on more than the seed
+	n.rnd.Shuffle(len(n.pingOrder), func(i, j int) { n.pingOrder[i], n.pingOrder[j] = n.pingOrder[j], n.pingOrder[i] })
+	n.nextPing = 0
+	return n.nextMember(true)
 }
 
-func (n *Node) pickDead() (Member, bool) {
-	dead := n.ids(func(r *record) bool { return r.State == Dead })
+func (n *Node) randomDead() (Member, bool) {
+	dead := n.matchingIDs(func(r *record) bool { return r.State == Dead })
 	if len(dead) == 0 {
 		return Member{}, false
 	}
 	return n.members[dead[n.rnd.IntN(len(dead))]].Member, true
 }
 
-func (n *Node) ids(keep func(*record) bool) []string {
+func (n *Node) matchingIDs(keep func(*record) bool) []string {
 	var out []string
 	for id, r := range n.members {
 		if keep(r) {
@@ -202,45 +209,46 @@
 	return out
 }
 
-// expire turns long suspicion into death, and forgets the long dead.
+// expire declares members dead that were suspected for too long, and removes those that were dead
+// for too long.
 func (n *Node) expire(now time.Time) {
-	for _, id := range n.ids(func(r *record) bool { return r.State != Alive }) {
+	for _, id := range n.matchingIDs(func(r *record) bool { return r.State != Alive }) {
 		r := n.members[id]
 		switch {
-		case r.State == Suspect && now.Sub(r.since) >= n.suspicion():
+		case r.State == Suspect && now.Sub(r.since) >= n.suspicionTimeout():
 			n.setState(now, r, Dead)
-		case r.State == Dead && now.Sub(r.since) >= n.set.KeepDead:
+		case r.State == Dead && now.Sub(r.since) >= n.set.DeadRetention:
 			delete(n.members, id)
 			n.version++
 		}
 	}
 }
 
-func (n *Node) logarithm() float64 { return math.Log2(float64(len(n.members) + 2)) }
+func (n *Node) logSize() float64 { return math.Log2(float64(len(n.members) + 2)) }
 
-// Interval returns the time to the next tick: in a large fleet it is longer, so that the
-// traffic of a node stays bounded.
+// Interval returns the time to the next tick. It is longer in a large fleet, so that the traffic of
+// a node stays bounded.
 func (n *Node) Interval() time.Duration {
-	if n.set.SlowFrom == 0 {
+	if n.set.SlowdownSize == 0 {
 		return n.set.Interval
 	}
-	factor := float64(len(n.members)+1) / float64(n.set.SlowFrom)
-	return time.Duration(math.Min(math.Max(factor, 1), slowMost) * float64(n.set.Interval))
+	factor := float64(len(n.members)+1) / float64(n.set.SlowdownSize)
+	return time.Duration(math.Min(math.Max(factor, 1), maxSlowdown) * float64(n.set.Interval))
 }
 
-// slowMost bounds by how much the interval grows.
-const slowMost = 3
+// maxSlowdown bounds the factor by which the interval grows.
+const maxSlowdown = 3
 
-// updates returns how many members one message tells.
-func (n *Node) updates() int {
-	if n.set.SlowFrom > 0 && len(n.members) > n.set.SlowFrom {
-		return max(n.set.Updates/2, 2)
+// maxUpdates returns the maximum number of entries in one message.
+func (n *Node) maxUpdates() int {
+	if n.set.SlowdownSize > 0 && len(n.members) > n.set.SlowdownSize {
+		return max(n.set.MaxUpdates/2, 2)
 	}
-	return n.set.Updates
+	return n.set.MaxUpdates
 }
 
-func (n *Node) suspicion() time.Duration {
-	return time.Duration(n.set.SuspectRounds * n.logarithm() * float64(n.Interval()))
+func (n *Node) suspicionTimeout() time.Duration {
+	return time.Duration(n.set.SuspicionFactor * n.logSize() * float64(n.Interval()))
 }
 
 func (n *Node) setState(now time.Time, r *record, s State) {
@@ -251,29 +259,29 @@
 	r.State, r.since = s, now
 	n.version++
 	n.changes = append(n.changes, Change{r.Member, before})
-	n.tell(r)
+	n.enqueue(r)
 }
 
-// Answered reports that a member answered a ping. What it says of itself comes with
-// [Node.Receive].
-func (n *Node) Answered(id string) { delete(n.pending, id) }
+// Answered records that a member answered a ping. The entries in the answer go to [Node.Receive].
+func (n *Node) Answered(id string) { delete(n.pendingIndirect, id) }
 
-// Missed reports that a member did not answer a ping, and returns whom to ask.
+// Missed records that a member did not answer a ping, and returns the indirect pings to send.
+// Without another alive member to ask, the member is suspected at once.
 func (n *Node) Missed(now time.Time, id string) []Action {
 	r := n.members[id]
 	if r == nil || r.State != Alive {
 		return nil
 	}
-	via := n.ids(func(o *record) bool { return o.ID != id && o.State == Alive })
+	via := n.matchingIDs(func(o *record) bool { return o.ID != id && o.State == Alive })
 	n.rnd.Shuffle(len(via), func(i, j int) { via[i], via[j] = via[j], via[i] })
-	if len(via) > n.set.Indirect {
-		via = via[:n.set.Indirect]
+	if len(via) > n.set.IndirectPings {
+		via = via[:n.set.IndirectPings]
 	}
 	if len(via) == 0 {
 		n.setState(now, r, Suspect)
 		return nil
 	}
-	n.pending[id] = len(via)
+	n.pendingIndirect[id] = len(via)
 	out := make([]Action, len(via))
 	for i, v := range via {
 		out[i] = IndirectPing{Via: n.members[v].Member, Target: r.Member}
@@ -281,26 +289,26 @@
 	return out
 }
 
-// MissedIndirect reports that an indirect ping failed too.
+// MissedIndirect records that an indirect ping failed. After the last one, the member is suspected.
 func (n *Node) MissedIndirect(now time.Time, id string) {
-	left, out := n.pending[id]
-	if !out {
+	left, pending := n.pendingIndirect[id]
+	if !pending {
 		return
 	}
 	if left > 1 {
-		n.pending[id] = left - 1
+		n.pendingIndirect[id] = left - 1
 		return
 	}
-	delete(n.pending, id)
+	delete(n.pendingIndirect, id)
 	if r := n.members[id]; r != nil && r.State == Alive {
 		n.setState(now, r, Suspect)
 	}
 }
 
-// Receive merges news. The first entry is the sender's own.
-func (n *Node) Receive(now time.Time, news []Member) {
-	for i := range news {
-		n.merge(now, &news[i], i == 0)
+// Receive merges the entries of a message. The first one is the sender's own.
+func (n *Node) Receive(now time.Time, updates []Member) {
+	for i := range updates {
+		n.merge(now, &updates[i], i == 0)
 	}
 }
 
@@ -315,30 +323,30 @@
 		n.members[m.ID] = r
 		n.version++
 		n.changes = append(n.changes, Change{*m, Dead})
-		n.passOn(r, firsthand)
+		n.gossip(r, firsthand)
 		return
 	}
-	if m.overrides(&r.Member) {
-		n.replace(now, r, m)
-		n.passOn(r, firsthand)
+	if m.supersedes(&r.Member) {
+		n.applyUpdate(now, r, m)
+		n.gossip(r, firsthand)
 		return
 	}
-	r.behind = r.behind || m.Incarnation < r.Incarnation
-	if m.fresher(&r.Member) {
-		r.Beat, r.Open, r.Configuration = m.Beat, m.Open, m.Configuration
+	r.maybeOutdated = r.maybeOutdated || m.Incarnation < r.Incarnation
+	if m.hasNewerStats(&r.Member) {
+		r.StatsVersion, r.OpenRequests, r.ConfigDigest = m.StatsVersion, m.OpenRequests, m.ConfigDigest
 	}
 }
 
-// replace takes news of a member that is known.
-func (n *Node) replace(now time.Time, r *record, m *Member) {
+// applyUpdate replaces the entry of a known member.
+func (n *Node) applyUpdate(now time.Time, r *record, m *Member) {
 	before := r.State
-	if !r.Heard() {
+	if !r.HasReported() {
 		before = Dead
 	}
 	if m.State != r.State {
 		r.since = now
 	}
-	r.Member, r.behind = *m, false
+	r.Member, r.maybeOutdated = *m, false
 	n.version++
 	if m.State != before {
 		n.changes = append(n.changes, Change{*m, before})
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -156,7 +156,7 @@
 	set.Interval = s.Peers.Interval
 	d.Fleet = fleet.New(fleet.Options{
 		Self: membership.Member{
-			ID: s.Instance.ID, DataCentre: s.Instance.DataCentre, Address: d.Callers, Peer: d.Peers,
+			ID: s.Instance.ID, DataCentre: s.Instance.DataCentre, Address: d.Callers, PeerAddress: d.Peers,
 			Process: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
 		},
 		Settings: set, Timeout: s.Peers.Timeout, Seeds: s.Peers.Seeds, Pool: d.Pool, Log: t.Log, Scope: t.Scope,
@@ -205,7 +205,7 @@
 	var members []membership.Member
 	for _, l := range listed {
 		if l.Role == platform.RoleGateway {
-			members = append(members, membership.Member{ID: l.ID, Peer: l.Address, DataCentre: l.DataCentre, Leaving: l.Leaving})
+			members = append(members, membership.Member{ID: l.ID, PeerAddress: l.Address, DataCentre: l.DataCentre, Leaving: l.Leaving})
 		}
 	}
 	d.Fleet.Seed(members)
--- a/gateway/exchange/join.go
+++ b/gateway/exchange/join.go
@@ -125,7 +125,7 @@
 func (x *Exchange) anyReady() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.members.node.Any(func(m *membership.Member) bool { return m.Ready && m.State == membership.Alive })
+	return x.members.node.AnyOther(func(m *membership.Member) bool { return m.Ready && m.State == membership.Alive })
 }
 
 // until tries until something works.
@@ -185,7 +185,7 @@
 			continue
 		}
 		others = true
-		x.members.node.Seed(x.time(), membership.Member{ID: o.Name, Address: e.Callers, Peer: e.Peers, DataCentre: e.DataCentre, Region: e.Region})
+		x.members.node.Seed(x.time(), membership.Member{ID: o.Name, Address: e.Callers, PeerAddress: e.Peers, DataCentre: e.DataCentre, Region: e.Region})
 	}
 	return own, others
 }
--- a/gateway/exchange/members.go
+++ b/gateway/exchange/members.go
@@ -44,8 +44,8 @@
 
 func memberSettings() membership.Settings {
 	s := membership.DefaultSettings()
-	s.Interval, s.Indirect, s.Updates, s.SlowFrom = pingEvery, pingsFor, membersMost, 0
-	s.Repeats, s.Repair, s.Firsthand = newsRepeats, repairEvery, true
+	s.Interval, s.IndirectPings, s.MaxUpdates, s.SlowdownSize = pingEvery, pingsFor, membersMost, 0
+	s.RetransmitFactor, s.RepairEvery, s.DirectUpdates = newsRepeats, repairEvery, true
 	return s
 }
 
@@ -76,7 +76,7 @@
 func (x *Exchange) self() membership.Member {
 	s := &x.Self
 	return membership.Member{
-		ID: s.ID, DataCentre: s.DataCentre, Region: s.Region, Address: s.Callers, Peer: s.Peers, Link: s.Link, Process: x.process,
+		ID: s.ID, DataCentre: s.DataCentre, Region: s.Region, Address: s.Callers, PeerAddress: s.Peers, LinkMbps: s.Link, Process: x.process,
 		// A process that starts again goes on above what it told before, unless its clock was set back; it then hears
 		// from the others what they know, and raises it.
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -217,7 +217,7 @@
 func (x *Exchange) say() {
 	ready, access := x.Ready(), int(x.Access())
 	x.mu.Lock()
-	news := x.members.node.Say(ready, access)
+	news := x.members.node.SetReadiness(ready, access)
 	x.mu.Unlock()
 	if news {
 		x.tellSelf()
--- a/gateway/exchange/peers.go
+++ b/gateway/exchange/peers.go
@@ -60,10 +60,10 @@
 	}
 	for i := range known {
 		m := &known[i]
-		if address, err := net.ResolveUDPAddr("udp", m.Peer); err == nil {
+		if address, err := net.ResolveUDPAddr("udp", m.PeerAddress); err == nil {
 			r.addresses[m.ID] = address
 		}
-		if m.State == membership.Alive && m.Heard() {
+		if m.State == membership.Alive && m.HasReported() {
 			r.alive = append(r.alive, peerOf(m))
 			r.hashes = append(r.hashes, xxhash.Sum64String(m.ID))
 		}
@@ -74,7 +74,7 @@
 
 func peerOf(m *membership.Member) Peer {
 	return Peer{
-		ID: m.ID, Callers: m.Address, Peers: m.Peer, DataCentre: m.DataCentre, Region: m.Region, Link: m.Link, Ready: m.Ready, Store: source.Access(m.Store),
+		ID: m.ID, Callers: m.Address, Peers: m.PeerAddress, DataCentre: m.DataCentre, Region: m.Region, Link: m.LinkMbps, Ready: m.Ready, Store: source.Access(m.Store),
 	}
 }
 
--- a/gateway/fleet/fleet.go
+++ b/gateway/fleet/fleet.go
@@ -96,7 +96,7 @@
 // join asks the seeds for all members.
 func (f *Fleet) join(ctx context.Context) {
 	for _, s := range f.opt.Seeds {
-		f.beat(ctx, membership.Member{Peer: s}, true)
+		f.beat(ctx, membership.Member{PeerAddress: s}, true)
 	}
 }
 
@@ -121,7 +121,7 @@
 	fig := f.opt.Figures()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.node.SetFigures(fig.Open, fig.Configuration)
+	f.node.SetStats(fig.Open, fig.Configuration)
 	f.usage.own(f.node.Self().ID, now, fig.Usage)
 	actions := f.node.Tick(now)
 	f.addUsage()
@@ -150,7 +150,7 @@
 // beat exchanges a heartbeat with a peer, and tells whether it answered.
 func (f *Fleet) beat(ctx context.Context, to membership.Member, full bool) bool {
 	f.beats.Inc(1)
-	resp, err := peers.Call(ctx, f.opt.Pool, to.Peer, f.opt.Timeout, heartbeatMethod, f.request(to, full))
+	resp, err := peers.Call(ctx, f.opt.Pool, to.PeerAddress, f.opt.Timeout, heartbeatMethod, f.request(to, full))
 	if err != nil {
 		return false
 	}
@@ -163,7 +163,7 @@
 	defer f.mu.Unlock()
 	return &peerv1.HeartbeatRequest{
 		From: f.node.Self().ID, Members: peers.EncodeMembers(f.node.Updates(to.ID)),
-		Usage: f.usage.encode(f.node.Self().ID, f.rnd), Configuration: f.node.Self().Configuration, Full: full,
+		Usage: f.usage.encode(f.node.Self().ID, f.rnd), Configuration: f.node.Self().ConfigDigest, Full: full,
 	}
 }
 
@@ -173,7 +173,7 @@
 	f.node.Answered(from.ID)
 	f.node.Receive(now, peers.DecodeMembers(resp.Members))
 	f.usage.merge(f.node.Self().ID, now, resp.Usage)
-	behind := resp.Configuration != f.node.Self().Configuration
+	behind := resp.Configuration != f.node.Self().ConfigDigest
 	f.mu.Unlock()
 	if behind && f.opt.Behind != nil {
 		f.opt.Behind(from)
@@ -182,7 +182,7 @@
 
 func (f *Fleet) indirect(ctx context.Context, a membership.IndirectPing) {
 	req := &peerv1.IndirectPingRequest{Target: peers.EncodeMember(&a.Target)}
-	resp, err := peers.Call(ctx, f.opt.Pool, a.Via.Peer, 2*f.opt.Timeout, indirectMethod, req)
+	resp, err := peers.Call(ctx, f.opt.Pool, a.Via.PeerAddress, 2*f.opt.Timeout, indirectMethod, req)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil && resp.Reached {
@@ -198,7 +198,7 @@
 	now := time.Now()
 	fig := f.opt.Figures()
 	f.mu.Lock()
-	f.node.SetFigures(fig.Open, fig.Configuration)
+	f.node.SetStats(fig.Open, fig.Configuration)
 	f.node.Receive(now, peers.DecodeMembers(req.Members))
 	f.usage.merge(f.node.Self().ID, now, req.Usage)
 	out := f.node.Updates(req.From)
@@ -208,7 +208,7 @@
 	from, known := f.node.Get(req.From)
 	f.addUsage()
 	resp := &peerv1.HeartbeatResponse{
-		Members: peers.EncodeMembers(out), Usage: f.usage.encode(f.node.Self().ID, f.rnd), Configuration: f.node.Self().Configuration,
+		Members: peers.EncodeMembers(out), Usage: f.usage.encode(f.node.Self().ID, f.rnd), Configuration: f.node.Self().ConfigDigest,
 	}
 	f.mu.Unlock()
 	f.logChanges()
@@ -268,7 +268,7 @@
 	self := f.Self().ID
 	var out []membership.Member
 	for _, m := range f.Members() {
-		if m.ID != self && m.State == membership.Alive && m.Peer != "" {
+		if m.ID != self && m.State == membership.Alive && m.PeerAddress != "" {
 			out = append(out, m)
 		}
 	}
@@ -291,7 +291,7 @@
 	if dataCentre == "" {
 		dataCentre = f.node.Self().DataCentre
 	}
-	return membership.Entry(f.node.Members(), dataCentre, f.rnd)
+	return membership.EntryMembers(f.node.Members(), dataCentre, f.rnd)
 }
 
 // Usage returns what is known of the others' use of a limit, as of the last heartbeat.
--- a/gateway/fleet/fleet_bench_test.go
+++ b/gateway/fleet/fleet_bench_test.go
@@ -35,7 +35,7 @@
 	for i := range n {
 		f := New(Options{
 			Self: membership.Member{
-				ID: fmt.Sprintf("entry-%03d", i), Address: fmt.Sprintf("10.12.%d.%d:8080", i/250, i%250), Peer: fmt.Sprintf("10.12.%d.%d:8081", i/250, i%250),
+				ID: fmt.Sprintf("entry-%03d", i), Address: fmt.Sprintf("10.12.%d.%d:8080", i/250, i%250), PeerAddress: fmt.Sprintf("10.12.%d.%d:8081", i/250, i%250),
 				DataCentre: fmt.Sprint("region-a-hall-", i%9), Process: uint64(i) * 0x9e3779b97f4a7c15, Incarnation: uint64(r.now.UnixNano()),
 			},
 			Settings: membership.DefaultSettings(), Scope: tally.NoopScope, Log: logrus.NewEntry(log),
--- a/gateway/once/tickets.go
+++ b/gateway/once/tickets.go
@@ -71,7 +71,7 @@
 	t.mu.Unlock()
 	self := t.opt.Fleet.Self()
 	token := ticket.Token{
-		Team: team, Instance: self.ID, Peer: self.Peer, Process: self.Process, ID: id, Expires: expires.Sub(t.epoch),
+		Team: team, Instance: self.ID, Peer: self.PeerAddress, Process: self.Process, ID: id, Expires: expires.Sub(t.epoch),
 	}
 	return token.Encode(t.opt.Key), t.opt.TTL
 }
@@ -230,7 +230,7 @@
 	for _, m := range t.opt.Fleet.Others() {
 		if !m.Leaving && m.Process != process {
 			ids = append(ids, m.ID)
-			byID[m.ID] = m.Peer
+			byID[m.ID] = m.PeerAddress
 		}
 	}
 	var out []string
--- a/gateway/operator/operator.go
+++ b/gateway/operator/operator.go
@@ -199,7 +199,7 @@
 		}
 		out.Instances = append(out.Instances, &operatorv1.InstanceStatus{
 			Id: m.ID, Address: m.Address, DataCentre: m.DataCentre, State: state, Incarnation: m.Incarnation,
-			OpenRequests: m.Open, ConfigurationDigest: digest(m.Configuration),
+			OpenRequests: m.OpenRequests, ConfigurationDigest: digest(m.ConfigDigest),
 		})
 	}
 	for _, e := range s.Backends.List() {
--- a/gateway/peering/lists.go
+++ b/gateway/peering/lists.go
@@ -61,7 +61,7 @@
 		l.mu.Lock()
 		req := &peerv1.ListInstancesRequest{Digest: l.digest}
 		l.mu.Unlock()
-		resp, err := peers.Call(ctx, l.Pool, m.Peer, l.Timeout, listMethod, req)
+		resp, err := peers.Call(ctx, l.Pool, m.PeerAddress, l.Timeout, listMethod, req)
 		if err != nil || !resp.Reads || time.Duration(resp.AgeMs)*time.Millisecond > staleAfter*l.Every {
 			continue
 		}
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -50,7 +50,7 @@
 	req := &peerv1.PushConfigurationRequest{From: s.Fleet.Self().ID, Records: encodeRecords(records)}
 	for _, m := range s.Fleet.Sample(fanout) {
 		go func() {
-			if _, err := peers.Call(context.Background(), s.Pool, m.Peer, s.Timeout, pushMethod, req); err != nil {
+			if _, err := peers.Call(context.Background(), s.Pool, m.PeerAddress, s.Timeout, pushMethod, req); err != nil {
 				s.Scope.Counter("configuration_pushes_failed").Inc(1)
 			}
 		}()
@@ -63,19 +63,19 @@
 	if s.pulling == nil {
 		s.pulling = map[string]bool{}
 	}
-	busy := s.pulling[m.Peer]
-	s.pulling[m.Peer] = true
+	busy := s.pulling[m.PeerAddress]
+	s.pulling[m.PeerAddress] = true
 	s.mu.Unlock()
-	if busy || m.Peer == "" {
+	if busy || m.PeerAddress == "" {
 		return
 	}
 	go func() {
 		defer func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			delete(s.pulling, m.Peer)
+			delete(s.pulling, m.PeerAddress)
 		}()
-		s.pull(m.Peer)
+		s.pull(m.PeerAddress)
 	}()
 }
 
@@ -175,7 +175,7 @@
 	req := s.told(facts, complete)
 	for _, m := range s.Fleet.Others() {
 		go func() {
-			if _, err := peers.Call(context.Background(), s.Pool, m.Peer, s.Timeout, crashesMethod, req); err != nil {
+			if _, err := peers.Call(context.Background(), s.Pool, m.PeerAddress, s.Timeout, crashesMethod, req); err != nil {
 				s.Scope.Counter("crashes_not_told").Inc(1) // it asks by itself
 			}
 		}()
@@ -189,7 +189,7 @@
 func (s *Service) AskCrashes(ctx context.Context) {
 	pause.Every(ctx, askCrashesEvery, func() {
 		for _, m := range s.Fleet.Sample(1) {
-			resp, err := peers.Call(ctx, s.Pool, m.Peer, s.Timeout, crashesMethod, &peerv1.Crashes{Instance: s.Fleet.Self().ID, Ask: true})
+			resp, err := peers.Call(ctx, s.Pool, m.PeerAddress, s.Timeout, crashesMethod, &peerv1.Crashes{Instance: s.Fleet.Self().ID, Ask: true})
 			if err != nil {
 				s.Scope.Counter("crashes_not_told").Inc(1)
 				continue
--- a/gateway/peers/member.go
+++ b/gateway/peers/member.go
@@ -8,9 +8,9 @@
 // EncodeMember returns a member as it is sent to other instances.
 func EncodeMember(m *membership.Member) *peerv1.Member {
 	return &peerv1.Member{
-		Id: m.ID, Address: m.Address, PeerAddress: m.Peer, DataCentre: m.DataCentre, Region: m.Region, Link: uint32(m.Link),
+		Id: m.ID, Address: m.Address, PeerAddress: m.PeerAddress, DataCentre: m.DataCentre, Region: m.Region, Link: uint32(m.LinkMbps),
 		Incarnation: m.Incarnation, Process: m.Process, Leaving: m.Leaving, Ready: m.Ready, Store: peerv1.StoreAccess(m.Store),
-		State: peerv1.MemberState(m.State + 1), Beat: m.Beat, OpenRequests: m.Open, Configuration: m.Configuration,
+		State: peerv1.MemberState(m.State + 1), Beat: m.StatsVersion, OpenRequests: m.OpenRequests, Configuration: m.ConfigDigest,
 	}
 }
 
@@ -21,9 +21,9 @@
 		state = membership.State(m.GetState() - 1)
 	}
 	return membership.Member{
-		ID: m.GetId(), Address: m.GetAddress(), Peer: m.GetPeerAddress(), DataCentre: m.GetDataCentre(), Region: m.GetRegion(), Link: int(m.GetLink()),
+		ID: m.GetId(), Address: m.GetAddress(), PeerAddress: m.GetPeerAddress(), DataCentre: m.GetDataCentre(), Region: m.GetRegion(), LinkMbps: int(m.GetLink()),
 		Incarnation: m.GetIncarnation(), Process: m.GetProcess(), Leaving: m.GetLeaving(), Ready: m.GetReady(), Store: int(m.GetStore()),
-		State: state, Beat: m.GetBeat(), Open: m.GetOpenRequests(), Configuration: m.GetConfiguration(),
+		State: state, StatsVersion: m.GetBeat(), OpenRequests: m.GetOpenRequests(), ConfigDigest: m.GetConfiguration(),
 	}
 }
 
--- a/gateway/running/running.go
+++ b/gateway/running/running.go
@@ -88,7 +88,7 @@
 	byID := map[string]membership.Member{}
 	var ids []string
 	for _, m := range r.opt.Fleet.Members() {
-		if m.State == membership.Alive && (m.Peer != "" || m.ID == r.opt.Fleet.Self().ID) {
+		if m.State == membership.Alive && (m.PeerAddress != "" || m.ID == r.opt.Fleet.Self().ID) {
 			byID[m.ID] = m
 			ids = append(ids, m.ID)
 		}
@@ -108,7 +108,7 @@
 		if h.ID == r.opt.Fleet.Self().ID {
 			return r.register(e)
 		}
-		resp, err := peers.Call(ctx, r.opt.Pool, h.Peer, r.opt.Timeout, registerMethod, &peerv1.RegisterRequest{Entry: encode(e)})
+		resp, err := peers.Call(ctx, r.opt.Pool, h.PeerAddress, r.opt.Timeout, registerMethod, &peerv1.RegisterRequest{Entry: encode(e)})
 		if err == nil {
 			return directory.Answer(resp.Answer - 1), decode(resp.Entry)
 		}
@@ -137,7 +137,7 @@
 			continue
 		}
 		go func() {
-			_, err := peers.Call(ctx, r.opt.Pool, h.Peer, r.opt.Timeout, updateMethod, &peerv1.UpdatePlaceRequest{Entry: encode(e)})
+			_, err := peers.Call(ctx, r.opt.Pool, h.PeerAddress, r.opt.Timeout, updateMethod, &peerv1.UpdatePlaceRequest{Entry: encode(e)})
 			if err != nil {
 				r.opt.Scope.Counter("directory_misses").Inc(1)
 			}
@@ -160,7 +160,7 @@
 		granted := false
 		if h.ID == r.opt.Fleet.Self().ID {
 			e, granted = r.takeOver(k, request, r.Owner())
-		} else if resp, err := peers.Call(ctx, r.opt.Pool, h.Peer, r.opt.Timeout, takeOverMethod, req); err == nil {
+		} else if resp, err := peers.Call(ctx, r.opt.Pool, h.PeerAddress, r.opt.Timeout, takeOverMethod, req); err == nil {
 			e, granted = decode(resp.Entry), resp.Granted
 		}
 		if granted {
@@ -185,7 +185,7 @@
 			continue
 		}
 		go func() {
-			if _, err := peers.Call(ctx, r.opt.Pool, h.Peer, r.opt.Timeout, finishMethod, req); err != nil {
+			if _, err := peers.Call(ctx, r.opt.Pool, h.PeerAddress, r.opt.Timeout, finishMethod, req); err != nil {
 				r.opt.Scope.Counter("directory_misses").Inc(1)
 			}
 		}()
