--- a/core/routing/endpoint.go
+++ b/core/routing/endpoint.go
@@ -99,7 +99,7 @@
 	loadAt         time.Time    // when the endpoint took the load report
 	open           int          // requests of this instance in progress
 	recent         []openChange // requests sent (+1) and finished (-1) since loadAt
-	trust          health.Trust
+	trust          health.Breaker
 	openAtFailure  int             // requests in progress since before the last failure
 	outcomes       health.Outcomes // of requests of this instance
 	pace           health.Pace     // as observed by this instance
--- a/core/routing/outcome.go
+++ b/core/routing/outcome.go
@@ -60,7 +60,7 @@
 	if own.Bad == 0 {
 		return 0
 	}
-	return health.Excess(own, v.serviceTotal(now, n.Service).Sub(own))
+	return health.ExcessFailureRate(own, v.serviceTotal(now, n.Service).Sub(own))
 }
 
 // ObservePrefill records how long an engine took to prefill some tokens: those of a request and
@@ -97,10 +97,10 @@
 // first.
 const slowFactor = 2
 
-func (v *View) usualPrefillOf(service string) *health.Usual {
+func (v *View) usualPrefillOf(service string) *health.Baseline {
 	u := v.usualPrefill[service]
 	if u == nil {
-		u = &health.Usual{}
+		u = &health.Baseline{}
 		v.usualPrefill[service] = u
 	}
 	return u
--- a/core/routing/view.go
+++ b/core/routing/view.go
@@ -81,10 +81,10 @@
 	subsets          map[string][]*node    // this instance's own subset, by service
 	peerReports      map[string]PeerReport // by instance
 	degraded         degradedGroups
-	claimedEndpoints map[string]bool            // endpoints with granted claims
-	endedAt          map[string]time.Time       // endpoints that this instance found to have ended, and when
-	totals           map[string]serviceOutcomes // by service
-	usualPrefill     map[string]*health.Usual   // usual time to prefill one token, by service
+	claimedEndpoints map[string]bool             // endpoints with granted claims
+	endedAt          map[string]time.Time        // endpoints that this instance found to have ended, and when
+	totals           map[string]serviceOutcomes  // by service
+	usualPrefill     map[string]*health.Baseline // usual time to prefill one token, by service
 	cache            cacheIndex
 	// owned tells for which endpoints this instance receives all reports of other instances; nil
 	// for all.
@@ -95,7 +95,7 @@
 func NewView(s Settings) *View {
 	return &View{
 		settings: s, nodes: map[string]*node{}, groups: map[groupKey][]*node{}, subsets: map[string][]*node{}, peerReports: map[string]PeerReport{}, claimedEndpoints: map[string]bool{}, endedAt: map[string]time.Time{},
-		totals: map[string]serviceOutcomes{}, usualPrefill: map[string]*health.Usual{}, cache: newCacheIndex(s.CacheEntries, s.CacheTTL),
+		totals: map[string]serviceOutcomes{}, usualPrefill: map[string]*health.Baseline{}, cache: newCacheIndex(s.CacheEntries, s.CacheTTL),
 	}
 }
 
@@ -154,7 +154,7 @@
 func (v *View) Forget(id string) {
 	if n := v.nodes[id]; n != nil {
 		n.reportsLeaving, n.lastAnswerLost = false, false
-		n.trust.Forget()
+		n.trust.Reset()
 		n.outcomes, n.pace = health.Outcomes{}, health.Pace{}
 		v.CacheCleared(id)
 	}
@@ -232,7 +232,7 @@
 		return
 	}
 	n.openAtFailure, n.failedAt = n.open, now
-	n.trust.Failed(now, health.TrustSettings{First: v.settings.BaseSuspicion, Most: v.settings.MaxSuspicion})
+	n.trust.Failed(now, health.BreakerSettings{MinPause: v.settings.BaseSuspicion, MaxPause: v.settings.MaxSuspicion})
 	v.degraded.stale = true
 }
 
