--- a/cli/standin/engine/engine.go
+++ b/cli/standin/engine/engine.go
@@ -108,7 +108,7 @@
 
 // hashAt returns the rolling hash of the first n tokens.
 func (s *stream) hashAt(n int) uint64 {
-	return generation.HashOf(s.tokens[:n])
+	return generation.HashTokens(s.tokens[:n])
 }
 
 // keepDone is how long a finished stream can be replayed.
@@ -236,7 +236,7 @@
 		}
 		t := Token(s.hash, s.rolling, salt)
 		s.tokens = append(s.tokens, t)
-		s.rolling = generation.Extend(s.rolling, []byte(t))
+		s.rolling = generation.ExtendHash(s.rolling, []byte(t))
 		e.stats.Generated++
 	}
 	if len(s.tokens) >= s.request.MaxTokens {
@@ -276,7 +276,7 @@
 	}
 	for _, t := range r.Prefix {
 		s.tokens = append(s.tokens, t)
-		s.rolling = generation.Extend(s.rolling, []byte(t))
+		s.rolling = generation.ExtendHash(s.rolling, []byte(t))
 	}
 	total := endpoint.PromptTokens(r.Prompt) + len(r.Prefix)
 	s.cached = min(e.cache.lookup(endpoint.PrefixHashes(r.Model, r.Prompt)), total)
--- a/cli/standin/engine/text.go
+++ b/cli/standin/engine/text.go
@@ -32,7 +32,7 @@
 	for range r.MaxTokens {
 		t := Token(request, h, 0)
 		b.WriteString(t)
-		h = generation.Extend(h, []byte(t))
+		h = generation.ExtendHash(h, []byte(t))
 	}
 	return b.String()
 }
@@ -52,7 +52,7 @@
 		if err != nil || Token(request, h, salt) != " "+w {
 			return false
 		}
-		h = generation.Extend(h, []byte(" "+w))
+		h = generation.ExtendHash(h, []byte(" "+w))
 	}
 	return true
 }
--- a/core/generation/action.go
+++ b/core/generation/action.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// Action is something the caller of the machine has to carry out: one of
-// [Start], [Resume], [Probe], [Cancel], [Finish] and [Fail].
+// Action is something that the caller of the machine has to carry out: one of [Start], [Resume],
+// [Probe], [Cancel], [Finish] and [Fail].
 type Action interface{ action() }
 
-// Start asks for a new stream on an engine chosen by routing.
+// Start requests a new stream on an engine chosen by routing.
 type Start struct {
 	Attempt int
-	// Avoid names endpoints that failed this generation.
+	// Avoid lists endpoints that failed, refused or were suspected in this generation.
 	Avoid []string
-	// From is the index at which the stream has to begin: the journal's length
-	// when the journal goes along as forced prefix, else 0.
+	// From is the index at which the stream has to begin: the journal's length when the journal is
+	// sent as a forced prefix, else 0.
 	From int
-	// Recovery tells that work was already done, so that it goes before new work.
+	// Recovery tells that an engine may already have worked on the request, which gives it
+	// precedence over new requests.
 	Recovery bool
 }
 
-// Resume asks for the same stream again, on a new connection.
+// Resume requests a running stream again, on a new connection.
 type Resume struct {
 	Attempt int
 	Stream  Stream
 	From    int
 }
 
-// Probe asks the engine, on a new connection, for the state of a stream.
+// Probe asks the engine for the state of a stream, on a new connection.
 type Probe struct {
 	Attempt int
 	Stream  Stream
 }
 
-// Cancel tells an engine to drop a stream that is not needed any more. Attempt
-// is the fencing number: an engine ignores it when a higher attempt took over.
+// Cancel tells an engine to drop a stream that is not needed any more. Attempt is the fencing
+// token: the engine ignores the Cancel if a higher attempt has taken over the stream.
 type Cancel struct {
 	Attempt int
 	Stream  Stream
@@ -44,13 +45,14 @@
 // Fail ends the generation without a complete answer.
 type Fail struct {
 	Code Code
-	// Valid is the number of tokens the caller holds that are correct.
-	Valid int
-	// RetryAfter is when asking again may help; 0 when it will not.
+	// ValidTokens is the number of correct tokens that the caller holds; 0 if it was not sent any
+	// before the end of the answer.
+	ValidTokens int
+	// RetryAfter is the time after which a retry may help; 0 when it will not.
 	RetryAfter time.Duration
-	// Started tells that an engine may have done work for the request.
-	Started bool
-	Detail  string
+	// MayHaveRun tells that an engine may have done work for the request.
+	MayHaveRun bool
+	Detail     string
 }
 
 func (Start) action()  {}
@@ -60,7 +62,7 @@
 func (Finish) action() {}
 func (Fail) action()   {}
 
-// Stream names an engine's stream.
+// Stream identifies a stream of an engine.
 type Stream struct {
 	Endpoint string
 	ID       string
@@ -69,48 +71,51 @@
 // Code says why a generation failed.
 type Code string
 
-// Reasons for the end of a generation without a complete answer.
+// Reasons for a failed generation.
 const (
-	CodeDeadline   Code = "deadline_exceeded"
-	CodeNoEndpoint Code = "no_endpoint"
-	CodeSuperseded Code = "superseded"
-	CodeCannotGoOn Code = "cannot_continue"
-	CodeInvalid    Code = "invalid_request"
-	CodeAttempts   Code = "attempts_exhausted"
-	CodeCanceled   Code = "canceled"
-	CodeStopped    Code = "stopped"
+	CodeDeadline          Code = "deadline_exceeded"
+	CodeNoEndpoint        Code = "no_endpoint"
+	CodeSuperseded        Code = "superseded"
+	CodeCannotContinue    Code = "cannot_continue"
+	CodeInvalid           Code = "invalid_request"
+	CodeAttemptsExhausted Code = "attempts_exhausted"
+	CodeCanceled          Code = "canceled"
+	CodeStopped           Code = "stopped"
 )
 
 // Failure classifies how an attempt ended.
 type Failure int
 
-// Ways in which an attempt fails.
+// Kinds of failed attempts.
 const (
-	// Broken: the connection ended or was reset.
+	// Broken means that the connection was closed or reset.
 	Broken Failure = iota
-	// Refused: the endpoint took no work, or could not be reached; nothing ran.
+	// Refused means that the endpoint took no work or was unreachable: nothing ran.
 	Refused
-	// NoEndpoint: routing found no eligible endpoint.
+	// NoEndpoint means that the attempt was not sent, usually because routing found no eligible
+	// endpoint.
 	NoEndpoint
-	// Mismatch: the engine does not hold or can't continue this sequence.
+	// Mismatch means that the engine does not hold this token sequence or can't continue it.
 	Mismatch
-	// Fenced: the engine has seen a higher attempt of this generation.
+	// Fenced means that the engine has seen a higher attempt of this generation.
 	Fenced
-	// Invalid: the engine says that the request itself is wrong.
+	// Invalid means that the engine rejects the request itself.
 	Invalid
-	// Gone: the platform or the engine says that the endpoint is dead.
+	// Gone means that the stream is lost and must not be probed, for instance because its endpoint
+	// is dead or a timeout expired.
 	Gone
-	// Stopped: the request ends the engines that run it, and is not sent to any more of them.
+	// Stopped means that the request crashes the engines that run it, and is not sent to any more
+	// of them.
 	Stopped
 )
 
-// Stats counts what recovery did, and what it cost.
+// Stats counts recovery events and their cost.
 type Stats struct {
-	Silences, Probes, ProbesAlive, ProbesDead        int
-	ResumesSame, ResumesElsewhere, Restarts          int
-	StaleTokens, RepeatedTokens, Gaps, FalseSuspects int
-	// PrefilledAgain counts tokens that an engine had to prefill a second time.
+	Silences, Probes, ProbesAlive, ProbesDead          int
+	ResumesSameStream, ResumesElsewhere, Restarts      int
+	StaleTokens, RepeatedTokens, Gaps, FalseSuspicions int
+	// PrefilledAgain counts prompt and prefix tokens that had to be prefilled again.
 	PrefilledAgain int
-	// ThrownAway counts accepted tokens that a restart dropped.
-	ThrownAway int
+	// DiscardedTokens counts accepted tokens that a restart from index 0 discarded.
+	DiscardedTokens int
 }
--- a/core/generation/config.go
+++ b/core/generation/config.go
@@ -2,50 +2,54 @@
 
 import "time"
 
-// Policy says how a suspected attempt is replaced.
+// Policy selects how a suspected attempt is replaced.
 type Policy string
 
-// Policies. Restart and NoProbe are baselines for measurements.
+// Recovery policies. Restart and NoProbe are baselines for measurements.
 const (
-	// Latency starts the next attempt while the probe is out.
+	// Latency starts the next attempt while the probe is pending.
 	Latency Policy = "latency"
-	// Frugal waits for the probe before it starts another attempt.
+	// Frugal waits for the result of the probe before it starts another attempt.
 	Frugal Policy = "frugal"
-	// Restart generates again from zero and drops what the caller already has.
+	// Restart generates again from index 0, does not relay the tokens that the caller already has,
+	// and never probes.
 	Restart Policy = "restart"
-	// Move takes silence for death without a probe once an attempt has brought a token: for engines at which a stream
-	// can't be attached to again, but that keep a copy elsewhere, so that going on there costs next to nothing. An
-	// attempt without a token yet is probed.
+	// Move replaces a silent attempt without a probe once it has delivered a token. It is meant for
+	// engines whose streams can't be reattached but have a copy on another engine, so that moving
+	// costs next to nothing. An attempt without a token is probed.
 	Move Policy = "move"
-	// NoProbe takes silence for death, after SilenceCeiling.
+	// NoProbe replaces an attempt without a probe after a silence of SilenceCeiling.
 	NoProbe Policy = "no-probe"
 )
 
-// Config holds the settings of recovery. The zero value is not usable; see
-// [DefaultConfig].
+// Config holds the recovery settings. The zero value is not usable; see [DefaultConfig].
 type Config struct {
 	Policy Policy
-	// SilenceFactor times the observed gap between tokens is silence; under the policy Move it is movedGaps times that.
+	// SilenceFactor times the smoothed gap between tokens is the silence threshold. The policy Move
+	// uses moveGapFactor instead.
 	SilenceFactor float64
-	// SilenceFloor and SilenceCeiling bound the silence threshold.
+	// SilenceFloor and SilenceCeiling bound the silence threshold. The policy Move has no ceiling.
+	// Repeated silences and resumes double the bounded value.
 	SilenceFloor, SilenceCeiling time.Duration
-	// FirstTokenSilence is the threshold before the first token, when no gap is known.
+	// FirstTokenSilence is the threshold while no gap between tokens is known, and under the policy
+	// Move until the first token of each attempt.
 	FirstTokenSilence time.Duration
 	// ProbeTimeout is how long an engine may take to answer a probe.
 	ProbeTimeout time.Duration
 	// AckTimeout is how long an engine may take to acknowledge a stream.
 	AckTimeout time.Duration
-	// WaitForEndpoint bounds how long a generation waits when no endpoint is eligible.
+	// WaitForEndpoint bounds how long a generation waits while no endpoint is eligible.
 	WaitForEndpoint time.Duration
-	// MaxAttempts bounds the attempts of one generation that may have run.
+	// MaxAttempts bounds the attempts of one generation. A refusal of the current attempt is not
+	// counted, since nothing ran; an attempt for which routing found no endpoint is counted.
 	MaxAttempts int
-	// Unverified tells that engines give numbered events without a hash of what came before, and
-	// continue after a number: what they acknowledge can't be checked, and a stream can't be attached
-	// to again on another connection.
+	// Unverified tells that engines number their events without a hash of the preceding ones, and
+	// continue after a given number. Their acknowledgements can't be checked, and a stream can't be
+	// reattached on another connection.
 	Unverified bool
 }
 
-// DefaultConfig returns the settings whose measurement stands in docs/RECOVERY.md.
+// DefaultConfig returns the settings that docs/RECOVERY.md reports measurements for.
 func DefaultConfig(p Policy) Config {
 	return Config{
 		Policy:            p,
@@ -60,18 +64,18 @@
 	}
 }
 
-// Origin says where a generation begins: new, or taken over from a gateway that
-// is gone.
+// Origin says where a generation begins: as a new request, or taken over from an instance that is
+// gone.
 type Origin struct {
-	// Attempt is the highest attempt known to have been used; 0 for a new request.
+	// Attempt is the highest attempt number known to have been used; 0 for a new request.
 	Attempt int
 	// Stream is the stream to take over; empty for none.
 	Stream Stream
-	// Have is how many tokens the caller already holds, and Hash their rolling hash.
+	// Delivered is how many tokens the caller already holds, and DeliveredHash their rolling hash.
 	// They are generated or replayed again, checked and not relayed.
-	Have int
-	Hash uint64
-	// Prefix are those tokens themselves, where the caller sent them along: then nothing
-	// has to be generated or replayed again. Their number and hash must be Have and Hash.
+	Delivered     int
+	DeliveredHash uint64
+	// Prefix holds those tokens themselves if the caller sent them along; then nothing has to be
+	// generated or replayed again. Their number and hash must be Delivered and DeliveredHash.
 	Prefix []string
 }
--- a/core/generation/example_test.go
+++ b/core/generation/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/agateway/agateway/core/generation"
 )
 
-// Example carries a generation over the death of its engine: the second stream is relayed
-// only after its engine has acknowledged the journal.
+// Example shows a generation that survives the failure of its engine. Tokens of the second stream
+// are accepted only after its engine has acknowledged the journal.
 func Example() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	m := generation.New(generation.DefaultConfig(generation.Frugal), generation.Origin{}, true, 100, now, now.Add(time.Minute))
--- a/core/generation/expect_test.go
+++ b/core/generation/expect_test.go
@@ -7,15 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestALongPromptIsWaitedFor: a prompt of 8,000 tokens takes an engine a second to read, and the first token comes right
-// after. Engines were asked after 0.7 s whether they live, once for nearly each stream, on a new connection each time.
-func TestALongPromptIsWaitedFor(t *testing.T) {
+// TestExpectFirstTokenDelaysSuspicion: an engine prefills a prompt of 8,000 tokens in a second, and
+// delivers the first token right after. Without an expected time nearly every such stream was
+// probed after 0.7 s, each time on a new connection.
+func TestExpectFirstTokenDelaysSuspicion(t *testing.T) {
 	const usual, expected = 700 * time.Millisecond, 1250 * time.Millisecond
 	at := func(d time.Duration) time.Time { return epoch.Add(d) }
 	tests := []struct {
 		name string
-		due  time.Duration // of the first token, 0 for unknown
-		want time.Duration // when the engine is asked
+		due  time.Duration // expected time of the first token, 0 for unknown
+		want time.Duration // when the engine is probed
 	}{
 		{"nothing is known", 0, usual},
 		{"a long prompt", expected, expected},
@@ -27,9 +28,9 @@
 			cfg.Unverified, cfg.FirstTokenSilence = true, usual
 			m := New(cfg, Origin{}, true, 8000, epoch, at(time.Minute))
 			m.Ready()
-			m.Acked(epoch, 1, first, 0, 0, 0)
+			m.Acked(epoch, 1, stream1, 0, 0, 0)
 			if tt.due > 0 {
-				m.Expect(1, at(tt.due))
+				m.ExpectFirstToken(1, at(tt.due))
 			}
 			assert.Equal(t, m.Deadline(epoch), at(tt.want))
 			m.Tick(at(tt.want - time.Millisecond))
@@ -40,19 +41,20 @@
 			_, asked := actions[0].(Probe)
 			assert.Assert(t, asked)
 			m.Probed(at(tt.want), 1, true, 0)
-			assert.Equal(t, m.Deadline(at(tt.want)), at(tt.want+usual), "it is late now, so it is asked as often as usual")
+			assert.Equal(t, m.Deadline(at(tt.want)), at(tt.want+usual), "after a late first token the usual threshold applies")
 		})
 	}
 }
 
-// TestSilenceAfterTheFirstToken: what was expected of the first token does not hold for those after it.
-func TestSilenceAfterTheFirstToken(t *testing.T) {
+// TestExpectFirstTokenDoesNotDelayLaterSuspicion: the time expected of the first token does not
+// apply to later tokens.
+func TestExpectFirstTokenDoesNotDelayLaterSuspicion(t *testing.T) {
 	cfg := DefaultConfig(Move)
 	cfg.Unverified = true
 	m := New(cfg, Origin{}, true, 8000, epoch, epoch.Add(time.Minute))
 	m.Ready()
-	m.Acked(epoch, 1, first, 0, 0, 0)
-	m.Expect(1, epoch.Add(10*time.Second))
+	m.Acked(epoch, 1, stream1, 0, 0, 0)
+	m.ExpectFirstToken(1, epoch.Add(10*time.Second))
 	m.Token(epoch.Add(time.Second), 1, 0, nil)
 	assert.Equal(t, m.Deadline(epoch.Add(time.Second)), epoch.Add(time.Second+cfg.SilenceFloor))
 }
--- a/core/generation/explore_test.go
+++ b/core/generation/explore_test.go
@@ -13,21 +13,21 @@
 
 func TestMain(m *testing.M) { os.Exit(seeded.Main(m)) }
 
-// world is a machine among engines and connections that do anything at any moment. Tokens
-// are made from the sequence before them and from a salt of their stream, so that a token
-// that does not belong shows.
-type world struct {
-	t       *rapid.T
-	m       *Machine
-	now     time.Time
-	streams map[string]*engineStream
-	conns   map[int]*conn
-	probes  []Probe
-	relayed []string
-	hash    uint64
-	ends    int
-	next    int
-	total   int
+// simulation runs a machine with engines and connections that do anything at any time. Each token
+// is derived from the preceding sequence and a salt of its stream, so that a token of another
+// sequence is detected.
+type simulation struct {
+	t          *rapid.T
+	m          *Machine
+	now        time.Time
+	streams    map[string]*engineStream
+	conns      map[int]*conn
+	probes     []Probe
+	relayed    []string
+	hash       uint64
+	endCount   int
+	lastStream int
+	total      int
 }
 
 type engineStream struct {
@@ -48,17 +48,17 @@
 	hash    uint64
 }
 
-func (s *engineStream) grow() {
+func (s *engineStream) generateToken() {
 	t := fmt.Sprintf("%x/%d;", s.hash, s.salt)
 	s.tokens = append(s.tokens, t)
-	s.hash = Extend(s.hash, []byte(t))
+	s.hash = ExtendHash(s.hash, []byte(t))
 }
 
-func (w *world) carryOut() {
+func (w *simulation) perform() {
 	for _, a := range w.m.Ready() {
-		if w.ends > 0 {
+		if w.endCount > 0 {
 			if _, ok := a.(Cancel); !ok {
-				w.t.Fatalf("action %T after the end", a)
+				w.t.Fatalf("action %T after the generation ended", a)
 			}
 		}
 		switch a := a.(type) {
@@ -73,56 +73,56 @@
 				delete(w.conns, a.Attempt)
 			}
 		case Finish:
-			w.ends++
+			w.endCount++
 			if len(w.relayed) != w.total {
-				w.t.Fatalf("finished after %d of %d tokens", len(w.relayed), w.total)
+				w.t.Fatalf("finished after %d of %d tokens were relayed", len(w.relayed), w.total)
 			}
 		case Fail:
-			w.ends++
-			if a.Valid != len(w.relayed) {
-				w.t.Fatalf("says %d tokens are valid, relayed %d", a.Valid, len(w.relayed))
+			w.endCount++
+			if a.ValidTokens != len(w.relayed) {
+				w.t.Fatalf("Fail reports %d valid tokens, %d were relayed", a.ValidTokens, len(w.relayed))
 			}
 		}
 	}
-	if w.ends > 1 {
-		w.t.Fatal("ended twice")
+	if w.endCount > 1 {
+		w.t.Fatal("the generation ended twice")
 	}
 }
 
-func (w *world) start(a Start) {
+func (w *simulation) start(a Start) {
 	endpoint := fmt.Sprint("e", rapid.IntRange(1, 4).Draw(w.t, "endpoint"))
 	w.m.Routed(a.Attempt, endpoint)
-	w.next++
-	s := &engineStream{endpoint: endpoint, salt: w.next, fence: a.Attempt}
+	w.lastStream++
+	s := &engineStream{endpoint: endpoint, salt: w.lastStream, fence: a.Attempt}
 	ignores := rapid.IntRange(0, 7).Draw(w.t, "engine ignores the prefix") == 0
 	if a.From > 0 && ignores {
 		a.From = 0
 	}
 	if a.From > 0 {
 		s.tokens = w.m.Journal().Tokens()
-		s.hash = HashOf(s.tokens)
+		s.hash = HashTokens(s.tokens)
 		if len(s.tokens) != a.From {
-			w.t.Fatalf("start from %d with %d tokens", a.From, len(s.tokens))
+			w.t.Fatalf("Start from index %d, but the journal has %d tokens", a.From, len(s.tokens))
 		}
 	}
-	id := fmt.Sprint("s", w.next)
+	id := fmt.Sprint("s", w.lastStream)
 	w.streams[id] = s
 	w.conns[a.Attempt] = &conn{attempt: a.Attempt, stream: s, id: id, from: a.From, pos: a.From, hash: s.hash}
 }
 
-func (w *world) resume(a Resume) {
+func (w *simulation) resume(a Resume) {
 	s := w.streams[a.Stream.ID]
 	if s == nil || a.Attempt <= s.fence || a.From > len(s.tokens) {
 		w.m.Failed(w.now, a.Attempt, Gone, 0)
-		w.carryOut()
+		w.perform()
 		return
 	}
 	s.fence = a.Attempt
-	w.conns[a.Attempt] = &conn{attempt: a.Attempt, stream: s, id: a.Stream.ID, from: a.From, pos: a.From, hash: HashOf(s.tokens[:a.From])}
+	w.conns[a.Attempt] = &conn{attempt: a.Attempt, stream: s, id: a.Stream.ID, from: a.From, pos: a.From, hash: HashTokens(s.tokens[:a.From])}
 }
 
-// pickConn draws a connection, old ones included.
-func (w *world) pickConn() *conn {
+// pickConn draws a connection; connections of replaced attempts are included.
+func (w *simulation) pickConn() *conn {
 	if len(w.conns) == 0 {
 		return nil
 	}
@@ -138,7 +138,7 @@
 	return w.conns[rapid.SampledFrom(keys).Draw(w.t, "connection")]
 }
 
-func (w *world) deliver(c *conn) {
+func (w *simulation) deliver(c *conn) {
 	if !c.acked {
 		c.acked = true
 		w.m.Acked(w.now, c.attempt, Stream{c.stream.endpoint, c.id}, c.from, c.hash, 0)
@@ -152,25 +152,25 @@
 	}
 }
 
-func (w *world) token(attempt, index int, text string) {
+func (w *simulation) token(attempt, index int, text string) {
 	if !w.m.Token(w.now, attempt, index, []byte(text)) {
 		return
 	}
 	var h string
 	if _, err := fmt.Sscanf(text, "%s", &h); err != nil || h[:len(fmt.Sprintf("%x/", w.hash))] != fmt.Sprintf("%x/", w.hash) {
-		w.t.Fatalf("token %q does not follow the %d tokens relayed", text, len(w.relayed))
+		w.t.Fatalf("token %q does not continue the %d relayed tokens", text, len(w.relayed))
 	}
 	w.relayed = append(w.relayed, text)
-	w.hash = Extend(w.hash, []byte(text))
+	w.hash = ExtendHash(w.hash, []byte(text))
 }
 
-// misdeliver hands over a token at a wrong place: late, skipped or from another stream.
-func (w *world) misdeliver(c *conn) {
+// misdeliver delivers a token out of order: repeated or with a gap before it.
+func (w *simulation) misdeliver(c *conn) {
 	if !c.acked || len(c.stream.tokens) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(c.stream.tokens)-1).Draw(w.t, "index")
-	if i > c.pos { // a gap: the connection is no good any more
+	if i > c.pos { // a gap: the connection is unusable from here on
 		w.token(c.attempt, i, c.stream.tokens[i])
 		delete(w.conns, c.attempt)
 		return
@@ -180,7 +180,7 @@
 	}
 }
 
-func (w *world) answerProbe() {
+func (w *simulation) answerProbe() {
 	if len(w.probes) == 0 {
 		return
 	}
@@ -196,14 +196,14 @@
 	w.m.Probed(w.now, p.Attempt, alive, index)
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 30).Draw(w.t, "ms")) * time.Millisecond)
 	c := w.pickConn()
 	switch rapid.IntRange(0, 11).Draw(w.t, "event") {
 	case 0, 1, 2, 3, 4:
 		if c != nil {
 			if len(c.stream.tokens) < w.total {
-				c.stream.grow()
+				c.stream.generateToken()
 			}
 			w.deliver(c)
 		}
@@ -235,21 +235,22 @@
 			w.m.Failed(w.now, c.attempt, Broken, 0)
 		}
 	}
-	w.carryOut()
+	w.perform()
 }
 
-// TestOrderings lets everything happen in any order and checks the contract of the
-// package: contiguous indices, one lineage, one end, nothing after it, and an end in time.
-func TestOrderings(t *testing.T) {
+// TestRandomEventOrder delivers events in random order and checks the invariants of the package:
+// contiguous indices, one lineage, exactly one end, no action but Cancel after it, and an end by
+// the deadline.
+func TestRandomEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom([]Policy{Latency, Frugal, NoProbe}).Draw(t, "policy")
-		w := &world{
+		w := &simulation{
 			t: t, now: epoch, streams: map[string]*engineStream{}, conns: map[int]*conn{},
 			total: rapid.IntRange(1, 12).Draw(t, "tokens"),
 		}
 		deadline := epoch.Add(5 * time.Second)
 		w.m = New(DefaultConfig(policy), Origin{}, true, 10, w.now, deadline)
-		w.carryOut()
+		w.perform()
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			w.step()
 		}
@@ -257,9 +258,9 @@
 			w.now = deadline
 		}
 		w.m.Tick(w.now)
-		w.carryOut()
-		if w.ends != 1 {
-			t.Fatalf("ended %d times", w.ends)
+		w.perform()
+		if w.endCount != 1 {
+			t.Fatalf("the generation ended %d times", w.endCount)
 		}
 	})
 }
--- a/core/generation/journal.go
+++ b/core/generation/journal.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Extend returns the rolling hash of a token sequence after one more token.
-// The hash of the empty sequence is 0. Both gateway and engine compute it, so
-// that each can tell whether the other speaks of the same sequence.
-func Extend(hash uint64, text []byte) uint64 {
+// ExtendHash returns the rolling hash of a token sequence after one more token. The hash of the
+// empty sequence is 0. Gateway and engine both compute it, so that each can check that the other
+// refers to the same sequence.
+func ExtendHash(hash uint64, text []byte) uint64 {
 	var d xxhash.Digest
 	var seed [8]byte
 	d.Reset()
@@ -17,42 +17,42 @@
 	_, _ = d.Write(seed[:])
 	_, _ = d.Write(text)
 	sum := d.Sum64()
-	if sum == 0 { // 0 is kept for the empty sequence
+	if sum == 0 { // 0 is reserved for the empty sequence
 		return 1
 	}
 	return sum
 }
 
-// HashOf returns the rolling hash of a token sequence.
-func HashOf(tokens []string) uint64 {
+// HashTokens returns the rolling hash of a token sequence.
+func HashTokens(tokens []string) uint64 {
 	var h uint64
 	for _, t := range tokens {
-		h = Extend(h, []byte(t))
+		h = ExtendHash(h, []byte(t))
 	}
 	return h
 }
 
-// Journal is the sequence of tokens accepted so far, kept as one buffer so that
-// a token costs its bytes and one offset.
+// Journal is the sequence of accepted tokens. One buffer holds the text of all tokens, so that each
+// token costs only its bytes and one offset.
 type Journal struct {
-	text []byte
-	ends []uint32
-	hash uint64
+	text       []byte
+	endOffsets []uint32
+	hash       uint64
 }
 
 // Len returns the number of tokens, which is also the next index.
-func (j *Journal) Len() int { return len(j.ends) }
+func (j *Journal) Len() int { return len(j.endOffsets) }
 
 // Hash returns the rolling hash of all tokens.
 func (j *Journal) Hash() uint64 { return j.hash }
 
-// Token returns token i. The slice is valid until the next append.
+// Token returns token i. The slice is valid until the next token is appended.
 func (j *Journal) Token(i int) []byte {
 	var from uint32
 	if i > 0 {
-		from = j.ends[i-1]
+		from = j.endOffsets[i-1]
 	}
-	return j.text[from:j.ends[i]]
+	return j.text[from:j.endOffsets[i]]
 }
 
 // Tokens returns a copy of all tokens as strings, to be sent as a forced prefix.
@@ -64,18 +64,18 @@
 	return out
 }
 
-// Text returns the concatenated text.
+// Text returns the concatenated text of all tokens.
 func (j *Journal) Text() string { return string(j.text) }
 
-// Bytes returns the memory held, in bytes.
-func (j *Journal) Bytes() int { return cap(j.text) + 4*cap(j.ends) }
+// Bytes returns the allocated memory, in bytes.
+func (j *Journal) Bytes() int { return cap(j.text) + 4*cap(j.endOffsets) }
 
 func (j *Journal) append(text []byte) {
 	j.text = append(j.text, text...)
-	j.ends = append(j.ends, uint32(len(j.text)))
-	j.hash = Extend(j.hash, text)
+	j.endOffsets = append(j.endOffsets, uint32(len(j.text)))
+	j.hash = ExtendHash(j.hash, text)
 }
 
 func (j *Journal) reset() {
-	j.text, j.ends, j.hash = j.text[:0], j.ends[:0], 0
+	j.text, j.endOffsets, j.hash = j.text[:0], j.endOffsets[:0], 0
 }
--- a/core/generation/machine.go
+++ b/core/generation/machine.go
@@ -7,149 +7,151 @@
 type attemptState int
 
 const (
-	starting attemptState = iota // asked for, not acknowledged
+	starting attemptState = iota // requested, not acknowledged
 	live                         // acknowledged
-	suspect                      // acknowledged, silent or broken, probe out
+	suspect                      // acknowledged, then silent or disconnected; a probe is pending
 )
 
 // attempt is one engine stream that serves the generation.
 type attempt struct {
-	number   int
-	state    attemptState
-	stream   Stream
-	from     int
-	began    time.Time
-	lastSeen time.Time
-	due      time.Time // of the first token, where that is known; not suspected before
-	backoff  int       // silences in a row that a probe answered as alive
-	resumes  int       // resumes of this stream in a row that brought no token
-	broken   bool      // the connection is known to be gone
-	same     bool      // resumes a stream that was already running
-	dropped  bool      // its cancellation was queued
-	spoke    bool      // a token of it was accepted
+	number        int
+	state         attemptState
+	stream        Stream
+	from          int
+	startedAt     time.Time
+	lastActivity  time.Time
+	firstTokenDue time.Time // latest expected first token, or zero; not suspected before
+	liveProbes    int       // consecutive silences after which a probe found the stream alive
+	resumes       int       // consecutive resumes of this stream that delivered no token
+	disconnected  bool      // the connection is known to be closed
+	resumed       bool      // reattaches to a stream that was already running
+	cancelled     bool      // a Cancel was queued
+	hasToken      bool      // a token from it was accepted
 }
 
-// Machine is the state of one generation. The zero value is not usable.
+// Machine is the state of one generation. The zero value is not usable; see [New].
 type Machine struct {
 	cfg      Config
 	deadline time.Time
 
-	journal  Journal
-	have     int    // tokens the caller held at the start, or that a restart has to regenerate
-	haveHash uint64 // their rolling hash
-	relayed  int    // tokens at the caller
-
-	first     int // attempt numbers up to this one belong to earlier owners
-	number    int // highest attempt number used
-	current   *attempt
-	contender *attempt
-	probe     struct {
-		out      bool
+	journal    Journal
+	replayLen  int    // the first replayLen tokens were delivered before: checked, not relayed again
+	replayHash uint64 // rolling hash of the first replayLen tokens
+	relayed    int    // tokens that reached the caller
+
+	baseAttempt int // attempts up to this number belong to earlier owners
+	lastAttempt int // highest attempt number used
+	current     *attempt
+	contender   *attempt
+	probe       struct {
+		pending  bool
 		attempt  int
 		deadline time.Time
 	}
-	avoid    []string
-	misfits  int       // engines that could not continue the journal
-	refused  int       // attempts that certainly did not run
-	refusals int       // in a row
-	waitFrom time.Time // since when no endpoint was found; zero when not waiting
-	retryAt  time.Time // when to ask routing again
-	retry    time.Duration
-
-	gap       time.Duration // smoothed gap between tokens
-	deviation time.Duration // smoothed deviation of the gap
-	lastToken time.Time
-	streamed  bool // tokens reach the caller as they come
-	started   bool // an engine may have done work
-	promptLen int
-	ended     bool
-	actions   []Action
-	stats     Stats
+	avoid               []string
+	mismatches          int       // engines that could not continue the journal
+	refusedAttempts     int       // attempts that certainly did not run
+	consecutiveRefusals int       // refusals since an engine last took the request
+	waitingSince        time.Time // when the wait for an endpoint began; zero when not waiting
+	retryAt             time.Time // when to ask routing again; zero for never
+	retryDelay          time.Duration
+
+	tokenGap     time.Duration // smoothed gap between tokens
+	gapDeviation time.Duration // smoothed deviation of the gap
+	lastTokenAt  time.Time
+	streamed     bool // tokens reach the caller before the answer is complete
+	mayHaveRun   bool // an engine may have done work for the request
+	promptTokens int
+	ended        bool
+	actions      []Action
+	stats        Stats
 }
 
 const (
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 250 * time.Millisecond
-	never      = 365 * 24 * time.Hour
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 250 * time.Millisecond
+	farFuture         = 365 * 24 * time.Hour
 )
 
-// New returns the machine of a generation and queues its first action. promptLen
-// is the prompt's length in tokens, for the count of work done again; streamed
-// tells that tokens reach the caller before the answer is complete.
-func New(cfg Config, o Origin, streamed bool, promptLen int, now, deadline time.Time) *Machine {
+// New returns the machine of a generation and queues its first action. streamed tells that tokens
+// reach the caller before the answer is complete. promptTokens is the length of the prompt in
+// tokens; it is used only to count repeated prefill work.
+func New(cfg Config, origin Origin, streamed bool, promptTokens int, now, deadline time.Time) *Machine {
 	m := &Machine{
-		cfg: cfg, deadline: deadline, first: o.Attempt, number: o.Attempt, have: o.Have, haveHash: o.Hash,
-		relayed: o.Have, streamed: streamed, promptLen: promptLen,
+		cfg: cfg, deadline: deadline, baseAttempt: origin.Attempt, lastAttempt: origin.Attempt, replayLen: origin.Delivered, replayHash: origin.DeliveredHash,
+		relayed: origin.Delivered, streamed: streamed, promptTokens: promptTokens,
 	}
-	for _, t := range o.Prefix {
+	for _, t := range origin.Prefix {
 		m.journal.append([]byte(t))
 	}
-	if o.Stream.ID != "" {
-		m.started = true
-		m.resumeStream(now, o.Stream, 0)
+	if origin.Stream.ID != "" {
+		m.mayHaveRun = true
+		m.resumeStream(now, origin.Stream, 0)
 		return m
 	}
 	m.startCurrent(now)
 	return m
 }
 
-// Ready returns the queued actions and clears the queue. The slice is valid until
-// the next call of a method.
+// Ready returns the queued actions and clears the queue. The slice is valid until the next method
+// call.
 func (m *Machine) Ready() []Action {
 	out := m.actions
 	m.actions = m.actions[len(m.actions):]
 	return out
 }
 
-// Journal returns the accepted tokens.
+// Journal returns the journal of accepted tokens.
 func (m *Machine) Journal() *Journal { return &m.journal }
 
 // Stats returns the counters.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// Ended tells that [Finish] or [Fail] was queued.
+// Ended tells whether [Finish] or [Fail] was queued.
 func (m *Machine) Ended() bool { return m.ended }
 
-// Attempt returns the current attempt's number and stream.
+// Attempt returns the number and stream of the current attempt. Without a current attempt it
+// returns the highest number used and an empty stream.
 func (m *Machine) Attempt() (int, Stream) {
 	if m.current == nil {
-		return m.number, Stream{}
+		return m.lastAttempt, Stream{}
 	}
 	return m.current.number, m.current.stream
 }
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// Acked reports that an engine acknowledged an attempt: the stream's name, the
-// index it goes on from, the rolling hash up to there, and how many prompt and
-// prefix tokens its cache held.
+// Acked reports that an engine acknowledged an attempt on stream s. The stream continues at index
+// after a prefix with the given rolling hash; cached is how many prompt and prefix tokens the
+// engine's cache held. An attempt that is not awaited any more is cancelled.
 func (m *Machine) Acked(now time.Time, number int, s Stream, index int, hash uint64, cached int) {
-	a := m.find(number)
+	a := m.findAttempt(number)
 	if m.ended || a == nil || a.state != starting {
 		m.emit(Cancel{Attempt: number, Stream: s})
 		return
 	}
-	a.stream, a.lastSeen = s, now
-	m.started = true
-	if !m.continues(a, index, hash) {
-		m.discard(a)
-		m.drop(now, a, Mismatch, 0)
+	a.stream, a.lastActivity = s, now
+	m.mayHaveRun = true
+	if !m.matchesJournal(a, index, hash) {
+		m.cancelAttempt(a)
+		m.handleFailure(now, a, Mismatch, 0)
 		return
 	}
 	a.state = live
-	if !a.same && number > m.first+1 {
-		m.stats.PrefilledAgain += max(0, m.promptLen+a.from-cached)
+	if !a.resumed && number > m.baseAttempt+1 {
+		m.stats.PrefilledAgain += max(0, m.promptTokens+a.from-cached)
 	}
 	if a == m.contender {
-		m.promote(now)
+		m.promoteContender(now)
 	}
-	if !m.cfg.Unverified { // else it only says that the request was sent, and the engine may yet refuse it
-		m.waitFrom = time.Time{}
+	if !m.cfg.Unverified { // an unverified ack only says that the request was sent: it may be refused
+		m.waitingSince = time.Time{}
 	}
 }
 
-// continues tells whether an acknowledgement is for the journal as it is now.
-func (m *Machine) continues(a *attempt, index int, hash uint64) bool {
+// matchesJournal tells whether an acknowledgement continues the journal as it is now, or starts at
+// index 0 as requested.
+func (m *Machine) matchesJournal(a *attempt, index int, hash uint64) bool {
 	if m.cfg.Unverified {
 		return true
 	}
@@ -162,44 +164,45 @@
 	return index == m.journal.Len() && hash == m.journal.Hash()
 }
 
-// promote makes the contender current and fences the attempt before it.
-func (m *Machine) promote(now time.Time) {
+// promoteContender makes the contender current and fences the previous attempt.
+func (m *Machine) promoteContender(now time.Time) {
 	if m.current != nil {
-		m.discard(m.current)
+		m.cancelAttempt(m.current)
 		m.avoidEndpoint(m.current.stream.Endpoint)
 	}
-	m.probe.out = false
+	m.probe.pending = false
 	m.current, m.contender = m.contender, nil
-	m.resetJournalIfBehind(m.current)
-	m.current.lastSeen = now
+	m.resetJournalIfFromZero(m.current)
+	m.current.lastActivity = now
 }
 
-// resetJournalIfBehind drops the journal when the attempt starts at zero; what
-// the caller holds has to be generated again and checked.
-func (m *Machine) resetJournalIfBehind(a *attempt) {
+// resetJournalIfFromZero clears the journal when the attempt starts at index 0. Tokens that the
+// caller already has are generated again, checked and not relayed.
+func (m *Machine) resetJournalIfFromZero(a *attempt) {
 	if a.from != 0 || m.journal.Len() == 0 {
 		return
 	}
-	if !a.same {
+	if !a.resumed {
 		m.stats.Restarts++
-		m.stats.ThrownAway += m.journal.Len()
+		m.stats.DiscardedTokens += m.journal.Len()
 	}
 	if m.streamed && m.relayed == m.journal.Len() {
-		m.have, m.haveHash = m.relayed, m.journal.Hash()
+		m.replayLen, m.replayHash = m.relayed, m.journal.Hash()
 	}
 	m.journal.reset()
 }
 
-// Expect reports when the first token of an attempt is due at the latest, such as from the length of its prompt and the usual
-// speed of engines. The attempt is not suspected before.
-func (m *Machine) Expect(number int, due time.Time) {
-	if a := m.find(number); a != nil && !m.ended {
-		a.due = due
+// ExpectFirstToken sets the latest time at which the first token of an attempt is expected, for
+// instance from the length of its prompt and the usual speed of engines. The attempt is not
+// suspected before that time.
+func (m *Machine) ExpectFirstToken(number int, due time.Time) {
+	if a := m.findAttempt(number); a != nil && !m.ended {
+		a.firstTokenDue = due
 	}
 }
 
-// Token reports a token. It returns true when the token is accepted and has to
-// go to the caller; false when it is dropped or already there.
+// Token reports a token. It returns true if the token is accepted and has to be relayed to the
+// caller, and false if it is dropped or the caller already has it.
 func (m *Machine) Token(now time.Time, number, index int, text []byte) bool {
 	a := m.current
 	if m.ended || a == nil || a.number != number || a.state == starting {
@@ -209,79 +212,80 @@
 	next := m.journal.Len()
 	if index < next {
 		m.stats.RepeatedTokens++
-		a.lastSeen = now
+		a.lastActivity = now
 		return false
 	}
 	if index > next {
 		m.stats.Gaps++
-		m.discard(a)
-		m.drop(now, a, Gone, 0)
+		m.cancelAttempt(a)
+		m.handleFailure(now, a, Gone, 0)
 		return false
 	}
-	m.seen(now, a)
+	m.recordActivity(now, a)
 	a.resumes = 0
-	if a.spoke || m.cfg.Policy != Move {
-		m.observe(now)
+	if a.hasToken || m.cfg.Policy != Move {
+		m.observeGap(now)
 	}
-	m.lastToken, a.spoke = now, true
+	m.lastTokenAt, a.hasToken = now, true
 	m.journal.append(text)
-	return m.accepted(now)
+	return m.relayOrVerify(now)
 }
 
-// accepted checks the token just journalled against what the caller holds.
-func (m *Machine) accepted(now time.Time) bool {
+// relayOrVerify tells whether the token just appended to the journal has to be relayed. At the last
+// token that the caller already has it compares the hash, and fails the generation on a mismatch.
+func (m *Machine) relayOrVerify(now time.Time) bool {
 	n := m.journal.Len()
-	if n > m.have {
+	if n > m.replayLen {
 		m.relayed = n
 		return true
 	}
-	if n == m.have && m.journal.Hash() != m.haveHash {
-		m.fail(now, CodeCannotGoOn, 0, "the answer generated again differs from the tokens already delivered")
+	if n == m.replayLen && m.journal.Hash() != m.replayHash {
+		m.fail(now, CodeCannotContinue, 0, "the answer generated again differs from the tokens already delivered")
 	}
 	return false
 }
 
-// Alive reports a sign of life that carries no token.
+// Alive reports activity of an attempt that carries no token, such as a keepalive.
 func (m *Machine) Alive(now time.Time, number int) {
-	if a := m.find(number); a != nil && !m.ended && a.state != starting {
-		m.seen(now, a)
+	if a := m.findAttempt(number); a != nil && !m.ended && a.state != starting {
+		m.recordActivity(now, a)
 	}
 }
 
-// seen clears a suspicion: the attempt spoke, so a contender is not needed.
-func (m *Machine) seen(now time.Time, a *attempt) {
-	a.lastSeen, a.backoff = now, 0
+// recordActivity clears a suspicion: the attempt is alive, so no contender is needed.
+func (m *Machine) recordActivity(now time.Time, a *attempt) {
+	a.lastActivity, a.liveProbes = now, 0
 	if a.state != suspect {
 		return
 	}
-	m.stats.FalseSuspects++
+	m.stats.FalseSuspicions++
 	m.clearSuspicion(a)
 }
 
 func (m *Machine) clearSuspicion(a *attempt) {
 	a.state = live
-	m.probe.out = false
-	m.dropContender()
+	m.probe.pending = false
+	m.cancelContender()
 }
 
-// DropContender cancels an attempt that competes with the current one, for a caller that
-// went away and may come back for the current one.
-func (m *Machine) DropContender() { m.dropContender() }
+// CancelContender cancels the attempt that competes with the current one. It is meant for a caller
+// that disconnected and may come back for the current attempt.
+func (m *Machine) CancelContender() { m.cancelContender() }
 
-func (m *Machine) dropContender() {
+func (m *Machine) cancelContender() {
 	if m.contender != nil {
-		m.discard(m.contender)
+		m.cancelAttempt(m.contender)
 		m.contender = nil
 	}
 }
 
-// discard cancels an attempt's stream. The action goes out also when the stream
-// has no name yet, so that the caller stops opening it.
-func (m *Machine) discard(a *attempt) {
-	if a.dropped {
+// cancelAttempt queues a Cancel for an attempt. The action is queued also while the stream has no
+// ID yet, so that the caller of the machine stops opening it.
+func (m *Machine) cancelAttempt(a *attempt) {
+	if a.cancelled {
 		return
 	}
-	a.dropped = true
+	a.cancelled = true
 	m.emit(Cancel{Attempt: a.number, Stream: a.stream})
 }
 
@@ -291,22 +295,21 @@
 	deviationFactor = 6
 )
 
-// observe updates the smoothed gap between tokens and its deviation (the method
-// of RFC 6298).
-func (m *Machine) observe(now time.Time) {
-	if !m.lastToken.IsZero() {
-		d := now.Sub(m.lastToken)
-		diff := d - m.gap
-		if m.gap == 0 {
-			m.gap, diff = d, 0
+// observeGap updates the smoothed gap between tokens and its deviation, as RFC 6298 does for
+// round-trip times.
+func (m *Machine) observeGap(now time.Time) {
+	if !m.lastTokenAt.IsZero() {
+		d := now.Sub(m.lastTokenAt)
+		diff := d - m.tokenGap
+		if m.tokenGap == 0 {
+			m.tokenGap, diff = d, 0
 		}
-		m.gap += time.Duration(gapWeight * float64(diff))
-		m.deviation += time.Duration(deviationWeight * float64(diff.Abs()-m.deviation))
+		m.tokenGap += time.Duration(gapWeight * float64(diff))
+		m.gapDeviation += time.Duration(deviationWeight * float64(diff.Abs()-m.gapDeviation))
 	}
 }
 
-// Done reports that the engine ended its stream after total tokens whose rolling hash
-// is hash.
+// Done reports that the engine ended its stream after total tokens with the given rolling hash.
 func (m *Machine) Done(now time.Time, number, total int, hash uint64, reason string) {
 	a := m.current
 	if m.ended || a == nil || a.number != number || a.state == starting {
@@ -314,41 +317,42 @@
 	}
 	if total != m.journal.Len() {
 		m.stats.Gaps++
-		m.drop(now, a, Gone, 0)
+		m.handleFailure(now, a, Gone, 0)
 		return
 	}
 	if hash != m.journal.Hash() {
-		m.fail(now, CodeCannotGoOn, 0, "the engine's answer differs from the tokens received")
+		m.fail(now, CodeCannotContinue, 0, "the engine's answer differs from the tokens received")
 		return
 	}
-	if total < m.have {
-		m.fail(now, CodeCannotGoOn, 0, "the answer generated again is shorter than what was delivered")
+	if total < m.replayLen {
+		m.fail(now, CodeCannotContinue, 0, "the answer generated again is shorter than what was delivered")
 		return
 	}
-	m.dropContender()
+	m.cancelContender()
 	m.ended = true
 	m.emit(Finish{Reason: reason})
 }
 
-// Failed reports the end of an attempt. retryAfter is the endpoint's own word on
-// when it takes work again.
-func (m *Machine) Failed(now time.Time, number int, why Failure, retryAfter time.Duration) {
-	if a := m.find(number); a != nil && !m.ended {
-		m.drop(now, a, why, retryAfter)
+// Failed reports the end of an attempt. retryAfter is the endpoint's own hint when it accepts work
+// again; 0 if it gave none.
+func (m *Machine) Failed(now time.Time, number int, failure Failure, retryAfter time.Duration) {
+	if a := m.findAttempt(number); a != nil && !m.ended {
+		m.handleFailure(now, a, failure, retryAfter)
 	}
 }
 
-// Stop ends the generation because the request ends the engines that run it. retryAfter is when it may be tried again.
+// Stop ends the generation because the request crashes the engines that run it. retryAfter is the
+// time after which it may be tried again.
 func (m *Machine) Stop(now time.Time, retryAfter time.Duration) {
 	m.fail(now, CodeStopped, retryAfter, "the request ends the engines that run it")
 }
 
-// Abort ends the generation because the caller went away.
+// Abort ends the generation because the caller disconnected.
 func (m *Machine) Abort(now time.Time) {
 	m.fail(now, CodeCanceled, 0, "the caller went away")
 }
 
-func (m *Machine) find(number int) *attempt {
+func (m *Machine) findAttempt(number int) *attempt {
 	if m.current != nil && m.current.number == number {
 		return m.current
 	}
@@ -358,8 +362,8 @@
 	return nil
 }
 
-// GaveUp tells whether an attempt was replaced or cancelled.
-func (m *Machine) GaveUp(number int) bool { return m.find(number) == nil }
+// Abandoned tells whether an attempt was replaced, cancelled or lost.
+func (m *Machine) Abandoned(number int) bool { return m.findAttempt(number) == nil }
 
 func (m *Machine) avoidEndpoint(endpoint string) {
 	if endpoint == "" {
@@ -373,19 +377,19 @@
 	m.avoid = append(m.avoid, endpoint)
 }
 
-// fail ends the generation at once and cancels what is running.
+// fail ends the generation at once and cancels the running attempts.
 func (m *Machine) fail(_ time.Time, code Code, retryAfter time.Duration, detail string) {
 	if m.ended {
 		return
 	}
 	m.ended = true
 	if m.current != nil && code != CodeSuperseded {
-		m.discard(m.current)
+		m.cancelAttempt(m.current)
 	}
-	m.dropContender()
+	m.cancelContender()
 	valid := m.relayed
 	if !m.streamed {
 		valid = 0
 	}
-	m.emit(Fail{Code: code, Valid: valid, RetryAfter: retryAfter, Started: m.started, Detail: detail})
+	m.emit(Fail{Code: code, ValidTokens: valid, RetryAfter: retryAfter, MayHaveRun: m.mayHaveRun, Detail: detail})
 }
--- a/core/generation/recover.go
+++ b/core/generation/recover.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// maxMisfits is how many engines may fail to continue a journal before it is
-// taken that none can.
-const maxMisfits = 3
+// maxMismatches is how many engines may fail to continue a journal before the machine assumes that
+// none can.
+const maxMismatches = 3
 
-// drop handles the end of an attempt.
-func (m *Machine) drop(now time.Time, a *attempt, why Failure, retryAfter time.Duration) {
-	switch why {
+// handleFailure handles the failure of the current attempt or the contender.
+func (m *Machine) handleFailure(now time.Time, a *attempt, failure Failure, retryAfter time.Duration) {
+	switch failure {
 	case Invalid:
 		m.fail(now, CodeInvalid, 0, "the engine refused the request as invalid")
 		return
@@ -20,194 +20,197 @@
 		return
 	}
 	if a == m.contender {
-		m.dropFailedContender(now, a, why, retryAfter)
+		m.loseContender(now, a, failure, retryAfter)
 		return
 	}
-	if why == Broken && m.worthProbing(a) {
-		a.broken = true
-		m.suspectNow(now, a)
+	if failure == Broken && m.shouldProbe(a) {
+		a.disconnected = true
+		m.suspectAttempt(now, a)
 		return
 	}
-	m.loseCurrent(now, a, why, retryAfter)
+	m.loseCurrent(now, a, failure, retryAfter)
 }
 
-// dropFailedContender gives up a contender. A current attempt that is still
-// under suspicion keeps its chance until its probe is answered.
-func (m *Machine) dropFailedContender(now time.Time, a *attempt, why Failure, retryAfter time.Duration) {
+// loseContender drops a failed contender. A current attempt that is under suspicion is kept until
+// its probe is answered.
+func (m *Machine) loseContender(now time.Time, a *attempt, failure Failure, retryAfter time.Duration) {
 	m.contender = nil
-	if why != NoEndpoint {
+	if failure != NoEndpoint {
 		m.avoidEndpoint(a.stream.Endpoint)
 	}
 	if m.current == nil {
-		m.next(now, why, retryAfter)
+		m.startNextOrWait(now, failure, retryAfter)
 	}
 }
 
-// worthProbing tells whether a broken connection may hide a running stream.
-func (m *Machine) worthProbing(a *attempt) bool {
+// shouldProbe tells whether the stream may still run although its connection is lost.
+func (m *Machine) shouldProbe(a *attempt) bool {
 	if m.cfg.Policy == Restart || m.cfg.Policy == NoProbe || m.cfg.Unverified {
 		return false
 	}
 	return a.state != starting && a.stream.ID != ""
 }
 
-// loseCurrent gives the current attempt up and goes on elsewhere.
-func (m *Machine) loseCurrent(now time.Time, a *attempt, why Failure, retryAfter time.Duration) {
-	if why != NoEndpoint {
+// loseCurrent gives up the current attempt and continues with the contender or a new attempt,
+// waits, or fails.
+func (m *Machine) loseCurrent(now time.Time, a *attempt, failure Failure, retryAfter time.Duration) {
+	if failure != NoEndpoint {
 		m.avoidEndpoint(a.stream.Endpoint)
 	}
-	switch why {
+	switch failure {
 	case Refused:
-		m.refused++
-		m.refusals++
+		m.refusedAttempts++
+		m.consecutiveRefusals++
 	case NoEndpoint:
 	default:
-		m.waitFrom, m.refusals = time.Time{}, 0 // an engine had taken it
+		m.waitingSince, m.consecutiveRefusals = time.Time{}, 0 // an engine had accepted the request
 	}
-	m.current, m.probe.out = nil, false
+	m.current, m.probe.pending = nil, false
 	if a.stream.ID != "" {
-		m.discard(a) // it may be paused and come back
+		m.cancelAttempt(a) // the engine may be paused and resume later
 	}
 	if m.contender != nil {
-		return // it becomes current when its engine acknowledges
+		return // it becomes current when its engine acknowledges it
 	}
-	if why == Mismatch && !a.same && a.from > 0 {
-		m.misfits++
+	if failure == Mismatch && !a.resumed && a.from > 0 {
+		m.mismatches++
 	}
-	if m.misfits >= maxMisfits || m.misfits > 0 && why == NoEndpoint {
+	if m.mismatches >= maxMismatches || m.mismatches > 0 && failure == NoEndpoint {
 		m.restartOrFail(now)
 		return
 	}
-	m.next(now, why, retryAfter)
+	m.startNextOrWait(now, failure, retryAfter)
 }
 
-// restartOrFail starts from zero when nothing has reached the caller: no engine
-// was able to continue the journal.
+// restartOrFail is called when no engine could continue the journal. It restarts from index 0 if
+// nothing was relayed, and fails otherwise.
 func (m *Machine) restartOrFail(now time.Time) {
 	if m.streamed && m.relayed > 0 {
-		m.fail(now, CodeCannotGoOn, 0, "the engine can't continue from the tokens already delivered")
+		m.fail(now, CodeCannotContinue, 0, "the engine can't continue from the tokens already delivered")
 		return
 	}
 	m.stats.Restarts++
-	m.stats.ThrownAway += m.journal.Len()
-	m.misfits = 0
+	m.stats.DiscardedTokens += m.journal.Len()
+	m.mismatches = 0
 	m.journal.reset()
 	m.startCurrent(now)
 }
 
-// next starts another attempt, or waits for an endpoint, or gives up at once.
-func (m *Machine) next(now time.Time, why Failure, retryAfter time.Duration) {
-	if m.number-m.first-m.refused >= m.cfg.MaxAttempts && why != NoEndpoint && why != Refused {
-		m.fail(now, CodeAttempts, time.Second, "too many engines failed during this answer")
+// startNextOrWait starts another attempt, waits for an endpoint, or fails when the attempts are
+// used up.
+func (m *Machine) startNextOrWait(now time.Time, failure Failure, retryAfter time.Duration) {
+	if m.lastAttempt-m.baseAttempt-m.refusedAttempts >= m.cfg.MaxAttempts && failure != NoEndpoint && failure != Refused {
+		m.fail(now, CodeAttemptsExhausted, time.Second, "too many engines failed during this answer")
 		return
 	}
-	if why != NoEndpoint && m.refusals < refusalsAtOnce {
-		m.startCurrent(now) // elsewhere: the endpoint that failed or refused is avoided
+	if failure != NoEndpoint && m.consecutiveRefusals < maxImmediateRefusals {
+		m.startCurrent(now) // on another endpoint: the one that failed or refused is avoided
 		return
 	}
 	m.waitForEndpoint(now, retryAfter)
 }
 
-// refusalsAtOnce is how many endpoints may refuse in a row before the next one is tried after a pause that grows. Where all
-// refuse, a request would else meet a hundred of them before the instances hear from each other how much is sent again.
-const refusalsAtOnce = 3
+// maxImmediateRefusals is the number of consecutive refusals after which the next endpoint is tried
+// only after a growing delay. Without it, when all endpoints refuse, a request would reach about a
+// hundred of them before the instances learn from each other how much is being retried.
+const maxImmediateRefusals = 3
 
-// waitForEndpoint asks again after a pause that grows; it gives up at once when
-// the answer can't come in the time left.
+// waitForEndpoint schedules another attempt after a growing delay. It fails at once if that attempt
+// would come after the deadline or after WaitForEndpoint.
 func (m *Machine) waitForEndpoint(now time.Time, retryAfter time.Duration) {
-	if m.waitFrom.IsZero() {
-		m.waitFrom, m.retry = now, retryFirst
+	if m.waitingSince.IsZero() {
+		m.waitingSince, m.retryDelay = now, initialRetryDelay
 	}
-	m.avoid = m.avoid[:0] // one that failed may be back
-	giveUp := m.waitFrom.Add(m.cfg.WaitForEndpoint)
+	m.avoid = m.avoid[:0] // an endpoint that failed may have recovered
+	giveUp := m.waitingSince.Add(m.cfg.WaitForEndpoint)
 	if m.deadline.Before(giveUp) {
 		giveUp = m.deadline
 	}
-	wait := max(m.retry, min(retryAfter, retryMost))
+	wait := max(m.retryDelay, min(retryAfter, maxRetryDelay))
 	if now.Add(wait).After(giveUp) {
 		m.fail(now, CodeNoEndpoint, max(retryAfter, time.Second), "no endpoint is able to take this request")
 		return
 	}
 	m.retryAt = now.Add(wait)
-	m.retry = min(2*m.retry, retryMost)
+	m.retryDelay = min(2*m.retryDelay, maxRetryDelay)
 }
 
-// startCurrent queues the start of a new current attempt.
+// startCurrent starts a new current attempt.
 func (m *Machine) startCurrent(now time.Time) {
 	m.retryAt = time.Time{}
 	m.current = m.startAttempt(now)
 }
 
-// startAttempt queues a start from the journal, or from zero where the policy
-// says so.
+// startAttempt queues a Start that continues the journal, or begins at index 0 under the Restart
+// policy.
 func (m *Machine) startAttempt(now time.Time) *attempt {
-	m.number++
+	m.lastAttempt++
 	from := m.journal.Len()
 	if m.cfg.Policy == Restart {
 		from = 0
 	}
-	a := &attempt{number: m.number, state: starting, from: from, began: now, lastSeen: now}
+	a := &attempt{number: m.lastAttempt, state: starting, from: from, startedAt: now, lastActivity: now}
 	if from > 0 {
 		m.stats.ResumesElsewhere++
 	}
 	if m.contender == nil && m.current == nil {
-		m.resetJournalIfBehind(a)
+		m.resetJournalIfFromZero(a)
 	}
 	avoid := append([]string(nil), m.avoid...)
-	m.emit(Start{Attempt: m.number, Avoid: avoid, From: from, Recovery: m.started})
+	m.emit(Start{Attempt: m.lastAttempt, Avoid: avoid, From: from, Recovery: m.mayHaveRun})
 	return a
 }
 
-// Routed reports the endpoint that routing chose for an attempt, so that a later
-// failure is put down to the right one.
+// Routed reports the endpoint that routing chose for an attempt, so that a later failure is
+// attributed to that endpoint.
 func (m *Machine) Routed(number int, endpoint string) {
-	if a := m.find(number); a != nil && a.state == starting {
+	if a := m.findAttempt(number); a != nil && a.state == starting {
 		a.stream.Endpoint = endpoint
 	}
 }
 
-// suspectNow starts the probe, and under the latency policy the contender too.
-func (m *Machine) suspectNow(now time.Time, a *attempt) {
+// suspectAttempt starts a probe, and under the Latency policy a contender as well.
+func (m *Machine) suspectAttempt(now time.Time, a *attempt) {
 	if a.state == suspect {
 		return
 	}
 	a.state = suspect
-	m.probe.out, m.probe.attempt, m.probe.deadline = true, a.number, now.Add(m.cfg.ProbeTimeout)
+	m.probe.pending, m.probe.attempt, m.probe.deadline = true, a.number, now.Add(m.cfg.ProbeTimeout)
 	m.stats.Probes++
 	m.emit(Probe{Attempt: a.number, Stream: a.stream})
-	if m.cfg.Policy == Latency && m.contender == nil && m.number-m.first < m.cfg.MaxAttempts {
+	if m.cfg.Policy == Latency && m.contender == nil && m.lastAttempt-m.baseAttempt < m.cfg.MaxAttempts {
 		m.avoidEndpoint(a.stream.Endpoint)
 		m.contender = m.startAttempt(now)
 	}
 }
 
-// Probed reports a probe's answer: whether the engine still runs the stream and
-// the index it has reached.
+// Probed reports the answer to a probe: whether the engine still runs the stream, and the index
+// that it has reached.
 func (m *Machine) Probed(now time.Time, number int, alive bool, index int) {
 	a := m.current
-	if m.ended || !m.probe.out || m.probe.attempt != number || a == nil || a.number != number {
+	if m.ended || !m.probe.pending || m.probe.attempt != number || a == nil || a.number != number {
 		return
 	}
-	m.probe.out = false
+	m.probe.pending = false
 	if !alive {
 		m.stats.ProbesDead++
 		m.loseCurrent(now, a, Gone, 0)
 		return
 	}
 	m.stats.ProbesAlive++
-	m.unavoid(a.stream.Endpoint)
-	m.dropContender()
-	if a.broken || index > m.journal.Len() {
-		m.attachAgain(now, a)
+	m.allowEndpoint(a.stream.Endpoint)
+	m.cancelContender()
+	if a.disconnected || index > m.journal.Len() {
+		m.reattach(now, a)
 		return
 	}
-	a.state, a.lastSeen = live, now // slow, not silent: the engine has nothing new
+	a.state, a.lastActivity = live, now // slow, not silent: the engine has no new token
 	if m.cfg.Policy != Move {
-		a.backoff++
+		a.liveProbes++
 	}
 }
 
-func (m *Machine) unavoid(endpoint string) {
+func (m *Machine) allowEndpoint(endpoint string) {
 	kept := m.avoid[:0]
 	for _, e := range m.avoid {
 		if e != endpoint {
@@ -217,42 +220,43 @@
 	m.avoid = kept
 }
 
-// maxResumes is how often a stream is resumed in a row without a token coming from it.
-// The threshold of silence doubles each time.
-const maxResumes = 3
+// maxResumesWithoutToken is how often a stream may be resumed in a row without delivering a token.
+// Each resume doubles the silence threshold.
+const maxResumesWithoutToken = 3
 
-// attachAgain takes the stream up on a new connection, or elsewhere where the engine can't do that.
-func (m *Machine) attachAgain(now time.Time, a *attempt) {
+// reattach resumes the stream on a new connection, or continues on another engine if this engine
+// does not support that.
+func (m *Machine) reattach(now time.Time, a *attempt) {
 	if m.cfg.Unverified {
 		m.loseCurrent(now, a, Gone, 0)
 		return
 	}
-	m.resumeSame(now, a)
+	m.resumeSameStream(now, a)
 }
 
-// resumeSame asks for the running stream on a new connection. A stream from which no
-// token comes even so is of no use: the generation goes on elsewhere.
-func (m *Machine) resumeSame(now time.Time, a *attempt) {
-	if a.resumes >= maxResumes {
+// resumeSameStream requests the running stream on a new connection. After too many resumes without
+// a token the generation continues on another engine.
+func (m *Machine) resumeSameStream(now time.Time, a *attempt) {
+	if a.resumes >= maxResumesWithoutToken {
 		m.loseCurrent(now, a, Gone, 0)
 		return
 	}
-	m.stats.ResumesSame++
+	m.stats.ResumesSameStream++
 	m.resumeStream(now, a.stream, a.resumes+1)
 }
 
-// resumeStream makes a stream current under a new attempt number, so that its older
-// connections are fenced.
+// resumeStream makes a stream current under a new attempt number, which fences its older
+// connections.
 func (m *Machine) resumeStream(now time.Time, s Stream, resumes int) {
-	m.number++
+	m.lastAttempt++
 	m.current = &attempt{
-		number: m.number, state: starting, stream: s, from: m.journal.Len(),
-		began: now, lastSeen: now, same: true, resumes: resumes,
+		number: m.lastAttempt, state: starting, stream: s, from: m.journal.Len(),
+		startedAt: now, lastActivity: now, resumed: true, resumes: resumes,
 	}
-	m.emit(Resume{Attempt: m.number, Stream: s, From: m.journal.Len()})
+	m.emit(Resume{Attempt: m.lastAttempt, Stream: s, From: m.journal.Len()})
 }
 
-// Tick lets time pass. Call it at [Machine.Deadline].
+// Tick applies the timeouts that have expired. Call it at [Machine.Deadline].
 func (m *Machine) Tick(now time.Time) {
 	if m.ended {
 		return
@@ -264,12 +268,12 @@
 	if !m.retryAt.IsZero() && !now.Before(m.retryAt) {
 		m.startCurrent(now)
 	}
-	if m.probe.out && !now.Before(m.probe.deadline) {
+	if m.probe.pending && !now.Before(m.probe.deadline) {
 		m.Probed(now, m.probe.attempt, false, 0)
 	}
-	if c := m.contender; c != nil && !now.Before(c.began.Add(m.cfg.AckTimeout)) {
-		m.discard(c)
-		m.drop(now, c, Gone, 0)
+	if c := m.contender; c != nil && !now.Before(c.startedAt.Add(m.cfg.AckTimeout)) {
+		m.cancelAttempt(c)
+		m.handleFailure(now, c, Gone, 0)
 	}
 	m.tickCurrent(now)
 }
@@ -281,64 +285,64 @@
 	}
 	switch a.state {
 	case starting:
-		if !now.Before(a.began.Add(m.cfg.AckTimeout)) {
-			m.discard(a)
-			m.drop(now, a, Gone, 0)
+		if !now.Before(a.startedAt.Add(m.cfg.AckTimeout)) {
+			m.cancelAttempt(a)
+			m.handleFailure(now, a, Gone, 0)
 		}
 	case live:
 		if !now.Before(m.suspectAt(a)) {
-			m.silent(now, a)
+			m.handleSilence(now, a)
 		}
 	}
 }
 
-func (m *Machine) silent(now time.Time, a *attempt) {
+func (m *Machine) handleSilence(now time.Time, a *attempt) {
 	m.stats.Silences++
 	switch {
-	case m.cfg.Policy == Restart, m.cfg.Policy == NoProbe, m.cfg.Policy == Move && a.spoke:
-		m.discard(a)
+	case m.cfg.Policy == Restart, m.cfg.Policy == NoProbe, m.cfg.Policy == Move && a.hasToken:
+		m.cancelAttempt(a)
 		m.loseCurrent(now, a, Gone, 0)
 	default:
-		m.suspectNow(now, a)
+		m.suspectAttempt(now, a)
 	}
 }
 
-const maxBackoff = 4
+const maxBackoffDoublings = 4
 
-// suspectAt returns when an attempt is suspected that says nothing more.
+// suspectAt returns when the attempt becomes suspect if it reports nothing more.
 func (m *Machine) suspectAt(a *attempt) time.Time {
-	at := a.lastSeen.Add(m.silence(a))
-	if !a.spoke && a.due.After(at) {
-		return a.due
+	at := a.lastActivity.Add(m.silenceThreshold(a))
+	if !a.hasToken && a.firstTokenDue.After(at) {
+		return a.firstTokenDue
 	}
 	return at
 }
 
-// silence returns how long an attempt may say nothing before it is suspected.
-func (m *Machine) silence(a *attempt) time.Duration {
+// silenceThreshold returns how long an attempt may be silent before it is suspected.
+func (m *Machine) silenceThreshold(a *attempt) time.Duration {
 	if m.cfg.Policy == Restart || m.cfg.Policy == NoProbe {
 		return m.cfg.SilenceCeiling
 	}
 	t := m.cfg.FirstTokenSilence
 	switch {
-	case m.cfg.Policy == Move && a.spoke:
-		t = max(m.cfg.SilenceFloor, movedGaps*m.gap)
-	case m.cfg.Policy != Move && m.gap > 0:
-		t = max(time.Duration(m.cfg.SilenceFactor*float64(m.gap)), m.gap+deviationFactor*m.deviation)
+	case m.cfg.Policy == Move && a.hasToken:
+		t = max(m.cfg.SilenceFloor, moveGapFactor*m.tokenGap)
+	case m.cfg.Policy != Move && m.tokenGap > 0:
+		t = max(time.Duration(m.cfg.SilenceFactor*float64(m.tokenGap)), m.tokenGap+deviationFactor*m.gapDeviation)
 		t = min(max(t, m.cfg.SilenceFloor), m.cfg.SilenceCeiling)
 	}
-	return t << min(a.backoff+a.resumes, maxBackoff)
+	return t << min(a.liveProbes+a.resumes, maxBackoffDoublings)
 }
 
-// movedGaps times its own gap is what a stream may be silent at least before it is moved. One that is slow for a good
-// reason, such as prompts read beside it, must not be moved for ever.
-const movedGaps = 2
+// moveGapFactor times the smoothed token gap is the shortest silence after which a stream is moved.
+// Without it, a stream that is slow for a good reason, such as prompts being prefilled on the same
+// engine, would be moved again and again.
+const moveGapFactor = 2
 
-// Deadline returns when [Machine.Tick] has to be called next, if nothing else
-// happens before.
+// Deadline returns when [Machine.Tick] has to be called next if nothing else happens first.
 func (m *Machine) Deadline(now time.Time) time.Time {
 	if m.ended {
-		return now.Add(never)
+		return now.Add(farFuture)
 	}
 	next := m.deadline
 	earlier := func(t time.Time) {
@@ -347,14 +351,14 @@
 		}
 	}
 	earlier(m.retryAt)
-	if m.probe.out {
+	if m.probe.pending {
 		earlier(m.probe.deadline)
 	}
 	if m.contender != nil {
-		earlier(m.contender.began.Add(m.cfg.AckTimeout))
+		earlier(m.contender.startedAt.Add(m.cfg.AckTimeout))
 	}
 	if a := m.current; a != nil && a.state == starting {
-		earlier(a.began.Add(m.cfg.AckTimeout))
+		earlier(a.startedAt.Add(m.cfg.AckTimeout))
 	} else if a != nil && a.state == live {
 		earlier(m.suspectAt(a))
 	}
--- a/gateway/forward/progress.go
+++ b/gateway/forward/progress.go
@@ -52,7 +52,7 @@
 func (s *session) expect(now time.Time, a *attempt) {
 	if usual, known := s.f.Placement.Expected(s.req.service, a.reading); known {
 		late := time.Duration(lateBy * float64(usual))
-		s.machine.Expect(a.number, now.Add(min(late, s.req.route.Aim/aimParts)))
+		s.machine.ExpectFirstToken(a.number, now.Add(min(late, s.req.route.Aim/aimParts)))
 	}
 }
 
@@ -138,7 +138,7 @@
 
 // failed takes the end of an attempt that brought no whole answer.
 func (s *session) failed(now time.Time, m message) {
-	if s.machine.GaveUp(m.attempt) {
+	if s.machine.Abandoned(m.attempt) {
 		return
 	}
 	if m.answer != nil {
--- a/gateway/pipeline/admit.go
+++ b/gateway/pipeline/admit.go
@@ -112,7 +112,7 @@
 	case c.Request != x.Generation.hash:
 		return bad("the body differs from the one that the cursor was made for")
 	}
-	if n := len(x.Generation.Prefix); n > 0 && (n != c.Index || generation.HashOf(x.Generation.Prefix) != c.Hash) {
+	if n := len(x.Generation.Prefix); n > 0 && (n != c.Index || generation.HashTokens(x.Generation.Prefix) != c.Hash) {
 		return apierr.New(apierr.InvalidRequest, "are not the tokens that the cursor stands for").WithField("agateway_prefix")
 	}
 	x.cursor = &c
--- a/gateway/pipeline/claim.go
+++ b/gateway/pipeline/claim.go
@@ -65,7 +65,7 @@
 	}
 	x.origin = generation.Origin{
 		Attempt: cur.Attempt + cursorGap - 1, Stream: generation.Stream{Endpoint: cur.Endpoint, ID: cur.Stream},
-		Have: cur.Index, Hash: cur.Hash, Prefix: x.Generation.Prefix,
+		Delivered: cur.Index, DeliveredHash: cur.Hash, Prefix: x.Generation.Prefix,
 	}
 	if e, ok := c.Running.TakeOver(ctx, x.entry.Key, x.entry.Request); ok {
 		x.origin.Attempt = e.Place.Attempt - 1
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -98,7 +98,7 @@
 }
 
 func (m *metrics) generation(st generation.Stats) {
-	m.recoveriesSame.Inc(int64(st.ResumesSame))
+	m.recoveriesSame.Inc(int64(st.ResumesSameStream))
 	m.recoveriesElsewhere.Inc(int64(st.ResumesElsewhere))
 	m.restarts.Inc(int64(st.Restarts))
 	m.silences.Inc(int64(st.Silences))
@@ -107,7 +107,7 @@
 	m.staleTokens.Inc(int64(st.StaleTokens))
 	m.repeatedTokens.Inc(int64(st.RepeatedTokens))
 	m.gaps.Inc(int64(st.Gaps))
-	m.falseAlarm.Inc(int64(st.FalseSuspects))
+	m.falseAlarm.Inc(int64(st.FalseSuspicions))
 	m.prefilledAgain.Inc(int64(st.PrefilledAgain))
-	m.thrownAway.Inc(int64(st.ThrownAway))
+	m.thrownAway.Inc(int64(st.DiscardedTokens))
 }
--- a/gateway/pipeline/relay.go
+++ b/gateway/pipeline/relay.go
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.machine.DropContender()
+	s.machine.CancelContender()
 	for _, a := range s.machine.Ready() {
 		s.perform(a)
 	}
@@ -81,8 +81,8 @@
 // failCodes turns the machine's codes into those of callers.
 var failCodes = map[generation.Code]apierr.Code{
 	generation.CodeDeadline: apierr.DeadlineExceeded, generation.CodeNoEndpoint: apierr.Unavailable,
-	generation.CodeSuperseded: apierr.Superseded, generation.CodeCannotGoOn: apierr.CannotContinue,
-	generation.CodeInvalid: apierr.InvalidRequest, generation.CodeAttempts: apierr.Unavailable,
+	generation.CodeSuperseded: apierr.Superseded, generation.CodeCannotContinue: apierr.CannotContinue,
+	generation.CodeInvalid: apierr.InvalidRequest, generation.CodeAttemptsExhausted: apierr.Unavailable,
 	generation.CodeCanceled: apierr.DeadlineExceeded, generation.CodeStopped: apierr.Unavailable,
 }
 
@@ -104,11 +104,11 @@
 func (s *session) failure() error {
 	f := s.fail
 	e := apierr.New(failCodes[f.Code], "%s", f.Detail).WithRetry(f.RetryAfter)
-	if f.Started {
+	if f.MayHaveRun {
 		e.Ran = apierr.DidRun
 	}
 	if s.x.Generation.Stream {
-		e.ValidTokens = &f.Valid
+		e.ValidTokens = &f.ValidTokens
 	}
 	return e
 }
--- a/gateway/pipeline/session.go
+++ b/gateway/pipeline/session.go
@@ -118,7 +118,7 @@
 // the machine has just queued the cancelling of such attempts.
 func (s *session) suspectUnacknowledged() {
 	for n, a := range s.attempts {
-		if !a.acked && !a.dropped && a.endpoint != "" && s.machine.GaveUp(n) {
+		if !a.acked && !a.dropped && a.endpoint != "" && s.machine.Abandoned(n) {
 			s.Backends.Failed(a.endpoint)
 		}
 	}
