--- a/core/limits/fleet_test.go
+++ b/core/limits/fleet_test.go
@@ -9,61 +9,62 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLargeFleetKeepsTheWindow: 295 instances before engines of which all refuse, 77 streams a second. A stream that was refused
-// is sent to the next engine after a round trip, three times, and then waits longer each time. What the others sent again is
-// heard as sums of five data centres. The bound holds when sums are a quarter of a second old at the most, and would not hold
-// with sums that are told twice a second and passed on, a second old.
-func TestLargeFleetKeepsTheWindow(t *testing.T) {
+// TestLargeFleetRetriesStayWithinBound simulates 295 instances and engines that refuse all of 77
+// streams per second. A refused stream is retried after a round trip, three times, and then after
+// growing delays. The others' retries arrive as the sums of five data centres. The bound holds with
+// sums that are at most a quarter of a second old. It does not hold with sums that are sent twice a
+// second and forwarded, and so up to a second old.
+func TestLargeFleetRetriesStayWithinBound(t *testing.T) {
 	const (
 		instances, dataCentres = 295, 5
 		perSecond              = 77
 		bound                  = 0.8*perSecond*10 + 150
 	)
-	play := func(heardEach time.Duration) int {
+	simulate := func(sumInterval time.Duration) int {
 		f, r := newFleet(instances), rand.New(rand.NewPCG(1, 1))
-		set := settings()
-		set.Margin, set.Kept = 0.75, 0.15
+		set := testSettings()
+		set.Margin, set.RecoveryMargin = 0.75, 0.15
 		for i := range f.windows {
-			f.windows[i] = NewWindow(set)
+			f.windows[i] = NewRetryWindow(set)
 		}
-		due := map[int][]int{} // instances that try again, by millisecond
+		retryAt := map[int][]int{} // instances that retry, by millisecond
 		for ms := 0; ms < 15000; ms++ {
 			now := time.Duration(ms) * time.Millisecond
-			if now%heardEach == 0 {
+			if now%sumInterval == 0 {
 				f.exchangeSums(now, dataCentres)
 			}
 			if r.Float64() < perSecond*0.001 {
 				i := r.IntN(instances)
-				f.windows[i].Request(now)
+				f.windows[i].RecordRequest(now)
 				for _, after := range []int{6, 12, 18, 40, 80, 160, 320, 570, 820, 1070} {
-					due[ms+after] = append(due[ms+after], i)
+					retryAt[ms+after] = append(retryAt[ms+after], i)
 				}
 			}
-			for _, i := range due[ms] {
-				if f.windows[i].Repeat(now, Sharing{instances, instances}, false) {
-					f.sent = append(f.sent, now)
+			for _, i := range retryAt[ms] {
+				if f.windows[i].TryRetry(now, PeerCoverage{instances, instances}, false) {
+					f.retriedAt = append(f.retriedAt, now)
 				}
 			}
 		}
-		return f.most()
+		return f.maxRetriesInWindow()
 	}
-	soon, late := play(250*time.Millisecond), play(time.Second)
-	t.Logf("most in 10 s: %d with sums of 0.25 s, %d with sums of 1 s, %.0f allowed", soon, late, float64(bound))
-	assert.Assert(t, soon < bound, "%d", soon)
-	assert.Assert(t, late > soon, "the load tells the two apart")
+	fast, slow := simulate(250*time.Millisecond), simulate(time.Second)
+	t.Logf("retries in 10 s: %d with sums every 0.25 s, %d with sums every 1 s, %.0f allowed", fast, slow, float64(bound))
+	assert.Assert(t, fast < bound, "%d retries in 10 s", fast)
+	assert.Assert(t, slow > fast, "older sums must lead to more retries")
 }
 
-// exchangeSums has all instances hear what the data centres have counted.
+// exchangeSums sends the counts of each data centre to all instances.
 func (f *fleet) exchangeSums(now time.Duration, dataCentres int) {
-	sums := make([]Counted, dataCentres)
+	sums := make([]RetryCounts, dataCentres)
 	for i, w := range f.windows {
-		own := w.Own()
+		own := w.LocalCounts()
 		sums[i%dataCentres].Requests += own.Requests
-		sums[i%dataCentres].Repeats += own.Repeats
+		sums[i%dataCentres].Retries += own.Retries
 	}
 	for _, w := range f.windows {
 		for dc, sum := range sums {
-			w.Heard(now, fmt.Sprint(dc), sum)
+			w.UpdatePeer(now, fmt.Sprint(dc), sum)
 		}
 	}
 }
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -9,24 +9,24 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestTeamConcurrencyIsSharedByUse(t *testing.T) {
+func TestTeamConcurrencyFollowsFleetUsage(t *testing.T) {
 	for name, c := range map[string]struct {
-		fleet Fleet
+		fleet FleetUsage
 		want  int
 	}{
-		"alone":                     {Fleet{1, 0, Usage{}}, 12},
-		"others idle":               {Fleet{3, 2, Usage{}}, 12},
-		"others use some":           {Fleet{3, 2, Usage{Running: 5}}, 7},
-		"others use all":            {Fleet{3, 2, Usage{Running: 12}}, 4},
-		"others use more than all":  {Fleet{3, 2, Usage{Running: 30}}, 4},
-		"one not heard of":          {Fleet{3, 1, Usage{Running: 1}}, 7},
-		"none heard of":             {Fleet{3, 0, Usage{}}, 4},
-		"more members than permits": {Fleet{50, 49, Usage{Running: 12}}, 1},
+		"alone":                     {FleetUsage{1, 0, Usage{}}, 12},
+		"others idle":               {FleetUsage{3, 2, Usage{}}, 12},
+		"others use some":           {FleetUsage{3, 2, Usage{Running: 5}}, 7},
+		"others use all":            {FleetUsage{3, 2, Usage{Running: 12}}, 4},
+		"others use more than all":  {FleetUsage{3, 2, Usage{Running: 30}}, 4},
+		"one not heard of":          {FleetUsage{3, 1, Usage{Running: 1}}, 7},
+		"none heard of":             {FleetUsage{3, 0, Usage{}}, 4},
+		"more members than permits": {FleetUsage{50, 49, Usage{Running: 12}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			team := &Team{}
 			team.Configure(epoch, Quota{Concurrent: 12})
-			team.Share(c.fleet)
+			team.SetFleetUsage(c.fleet)
 			n := 0
 			for ; team.Acquire(epoch) == nil; n++ {
 			}
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestTeamRateRefusesWithTheTimeToComeBack(t *testing.T) {
+func TestTeamRateRefusalHasRetryAfter(t *testing.T) {
 	team := &Team{}
 	team.Configure(epoch, Quota{Rate: 10, Burst: 2})
-	team.Share(Fleet{Members: 1})
+	team.SetFleetUsage(FleetUsage{Members: 1})
 	assert.Assert(t, team.Acquire(epoch) == nil)
 	assert.Assert(t, team.Acquire(epoch) == nil)
 	refusal := team.Acquire(epoch)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFleetKeepsATeamsRate runs instances that tell each other their use once a second.
-func TestFleetKeepsATeamsRate(t *testing.T) {
+// TestFleetKeepsTeamRate runs instances that exchange their usage once a second.
+func TestFleetKeepsTeamRate(t *testing.T) {
 	const instances, rate = 9, 90.0
 	teams := make([]*Team, instances)
 	for i := range teams {
@@ -69,9 +69,9 @@
 	for ms := range seconds * 1000 {
 		now := epoch.Add(time.Duration(ms) * time.Millisecond)
 		if ms%1000 == 0 {
-			share(now, teams)
+			exchangeUsage(now, teams)
 		}
-		// Nearly all callers use one instance, three times as fast as they may.
+		// Nearly all callers use one instance, at almost three times the permitted rate.
 		for i, team := range teams {
 			if offers := i == 0 && ms%4 == 0 || ms%1000 == i; offers && team.Acquire(now) == nil {
 				admitted++
@@ -80,10 +80,10 @@
 		}
 	}
 	perSecond := float64(admitted) / seconds
-	assert.Assert(t, perSecond > 0.8*rate && perSecond < 1.15*rate, "%.1f per second", perSecond)
+	assert.Assert(t, perSecond > 0.8*rate && perSecond < 1.15*rate, "%.1f requests per second", perSecond)
 }
 
-func share(now time.Time, teams []*Team) {
+func exchangeUsage(now time.Time, teams []*Team) {
 	var sum Usage
 	for _, t := range teams {
 		u := t.Usage(now)
@@ -92,18 +92,18 @@
 	}
 	for _, t := range teams {
 		u := t.Usage(now)
-		t.Share(Fleet{len(teams), len(teams) - 1, Usage{Running: sum.Running - u.Running, Rate: sum.Rate - u.Rate}})
+		t.SetFleetUsage(FleetUsage{len(teams), len(teams) - 1, Usage{Running: sum.Running - u.Running, Rate: sum.Rate - u.Rate}})
 	}
 }
 
-func TestQueueAdmitsInContractOrder(t *testing.T) {
+func TestQueueAdmitsInClassOrder(t *testing.T) {
 	q := &Queue{}
 	q.SetCapacity(1)
 	v, _ := q.Offer(1, Long, time.Minute)
 	assert.Equal(t, v, Admitted)
 	for id, class := range map[uint64]Class{10: Background, 11: Long, 12: Urgent, 13: Recovery} {
 		if class == Recovery {
-			q.running++ // the reserve for recoveries is in use too
+			q.running++ // the extra capacity for recoveries is in use too
 		}
 		v, _ := q.Offer(id, class, time.Minute)
 		assert.Equal(t, v, Waiting, "class %d", class)
@@ -118,12 +118,12 @@
 	assert.DeepEqual(t, order, []uint64{13, 12, 11, 10})
 }
 
-func TestQueueRefusesAtOnceWhatCannotBeServedInTime(t *testing.T) {
+func TestQueueRefusesRequestsThatWouldWaitTooLong(t *testing.T) {
 	q := &Queue{}
 	q.SetCapacity(2)
 	q.Offer(1, Long, 0)
 	q.Offer(2, Long, 0)
-	q.Finish(4 * time.Second) // so long does a request take
+	q.Finish(4 * time.Second) // sets the expected service time
 	q.Offer(3, Long, 0)
 	v, expected := q.Offer(4, Long, 8*time.Second)
 	assert.Equal(t, v, Waiting)
@@ -131,7 +131,7 @@
 	v, retry := q.Offer(5, Long, 8*time.Second)
 	assert.Equal(t, v, Refused)
 	assert.Equal(t, retry, 4*time.Second)
-	v, _ = q.Offer(6, Urgent, 8*time.Second) // goes before the one that waits
+	v, _ = q.Offer(6, Urgent, 8*time.Second) // goes before the waiting request
 	assert.Equal(t, v, Waiting)
 	assert.Assert(t, q.Withdraw(4))
 	assert.Assert(t, !q.Withdraw(4))
@@ -149,7 +149,7 @@
 	assert.Equal(t, v, Admitted)
 }
 
-func TestRisingCapacityAdmits(t *testing.T) {
+func TestQueueAdmitsWhenCapacityRises(t *testing.T) {
 	q := &Queue{}
 	q.SetCapacity(1)
 	q.Offer(1, Long, time.Minute)
@@ -159,21 +159,21 @@
 	assert.Equal(t, q.Running(), 2)
 }
 
-func TestBudgetBoundsRetries(t *testing.T) {
-	b := NewBudget(0.1, 5)
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	b := NewRetryBudget(0.1, 5)
 	retries := 0
 	for range 1000 {
-		b.Request()
-		if b.Retry() {
+		b.RecordRequest()
+		if b.TryRetry() {
 			retries++
 		}
 	}
-	assert.Assert(t, retries >= 100 && retries <= 106, "%d", retries)
+	assert.Assert(t, retries >= 100 && retries <= 106, "%d retries", retries)
 }
 
-// TestQueueCountsWhatHasToEndFirst: after the capacity fell, requests beyond it end before
-// anyone is admitted.
-func TestQueueCountsWhatHasToEndFirst(t *testing.T) {
+// TestQueueWaitIncludesExcessRequests: after the capacity fell, the requests in excess of it have
+// to finish before another one is admitted. The expected wait includes them.
+func TestQueueWaitIncludesExcessRequests(t *testing.T) {
 	q := &Queue{}
 	q.SetCapacity(8)
 	for id := range uint64(8) {
@@ -184,15 +184,15 @@
 	q.SetCapacity(4)
 	v, retry := q.Offer(9, Long, time.Second)
 	assert.Equal(t, v, Refused)
-	assert.Equal(t, retry, 1250*time.Millisecond) // five have to end, four at a time
+	assert.Equal(t, retry, 1250*time.Millisecond) // five have to finish, four at a time
 }
 
-// TestQueueGoesByTheHintAtFirst: before any request has ended, the wait is judged by how
-// long requests are likely to take.
-func TestQueueGoesByTheHintAtFirst(t *testing.T) {
+// TestQueueUsesHintBeforeFirstFinish: before the first request has finished, the expected wait
+// follows from the hinted service time.
+func TestQueueUsesHintBeforeFirstFinish(t *testing.T) {
 	q := &Queue{}
 	q.SetCapacity(10)
-	q.Hint(5 * time.Second)
+	q.HintServiceTime(5 * time.Second)
 	for id := range uint64(10) {
 		q.Offer(id, Long, 0)
 	}
--- a/core/limits/streams.go
+++ b/core/limits/streams.go
@@ -6,80 +6,87 @@
 	"time"
 )
 
-// StreamTimes estimates how long a stream of a service takes at least, from those that this instance served lately. A stream that can't
-// end before its deadline is refused at once: reading its prompt would delay others, and its caller would wait for nothing.
+// StreamTimes estimates the shortest time that a stream of a service takes, from the streams that
+// this instance served recently. A stream that can't end before its deadline is refused at once:
+// prefilling its prompt would delay others, and its caller would wait in vain.
 //
-// It does no I/O and reads no clock, and is not safe for concurrent use. The zero value knows nothing.
+// It does no I/O and reads no clock, and is not safe for concurrent use. The zero value has no
+// samples and estimates nothing.
 type StreamTimes struct {
-	// perPromptToken and perEvent are times in nanoseconds, eventsPerToken is in events for each token of output asked for.
-	perPromptToken, perEvent, eventsPerToken samples
+	// timePerPromptToken and timePerEvent are in nanoseconds; eventsPerOutputToken is in events per
+	// requested output token.
+	timePerPromptToken, timePerEvent, eventsPerOutputToken samples
 }
 
-// StreamWork is what a stream still needs.
+// StreamWork is the remaining work of a stream.
 type StreamWork struct {
-	// Unread is how many prompt tokens have to be prefilled.
-	Unread int
-	// OutputTokens is the most tokens of output of the whole stream, and Made how many of its events the caller has.
-	OutputTokens, Made int
+	// PrefillTokens is how many prompt tokens have to be prefilled.
+	PrefillTokens int
+	// OutputTokens is the maximum number of output tokens of the whole stream, and DeliveredEvents
+	// how many of its events the caller already has.
+	OutputTokens, DeliveredEvents int
 }
 
-// ObserveRead takes how long an engine took to prefill some tokens, until the first event.
-func (t *StreamTimes) ObserveRead(tokens int, took time.Duration) {
+// ObservePrefill records how long an engine took to prefill the given number of tokens, until the
+// first event.
+func (t *StreamTimes) ObservePrefill(tokens int, took time.Duration) {
 	if tokens > 0 && took > 0 {
-		t.perPromptToken.add(float64(took) / float64(tokens))
+		t.timePerPromptToken.add(float64(took) / float64(tokens))
 	}
 }
 
-// ObserveStream takes a whole stream: the tokens of output asked for, the events that it had in all, and the time that some of its gaps
-// took together.
+// ObserveStream records a complete stream: the output tokens requested, the total number of events,
+// and the time that the given number of gaps between events took together.
 func (t *StreamTimes) ObserveStream(outputTokens, events, gaps int, took time.Duration) {
 	if outputTokens > 0 && events > 0 {
-		t.eventsPerToken.add(float64(events) / float64(outputTokens))
+		t.eventsPerOutputToken.add(float64(events) / float64(outputTokens))
 	}
 	if gaps > 0 && took > 0 {
-		t.perEvent.add(float64(took) / float64(gaps))
+		t.timePerEvent.add(float64(took) / float64(gaps))
 	}
 }
 
-// Least returns the time that a stream needs if it is served as fast as the fastest ones of late; false where too few are known.
-func (t *StreamTimes) Least(w StreamWork) (time.Duration, bool) {
-	perEvent, known := t.perEvent.low()
-	share, shareKnown := t.eventsPerToken.low()
-	if !known || !shareKnown {
+// MinDuration returns the time that a stream needs if it is served as fast as the fastest recent
+// streams. It returns false if there are too few samples.
+func (t *StreamTimes) MinDuration(w StreamWork) (time.Duration, bool) {
+	perEvent, known := t.timePerEvent.quantile()
+	eventsPerToken, outputKnown := t.eventsPerOutputToken.quantile()
+	if !known || !outputKnown {
 		return 0, false
 	}
-	left := max(share*float64(w.OutputTokens)-float64(w.Made), 0)
-	perToken, _ := t.perPromptToken.low()
-	return time.Duration(perToken*float64(w.Unread) + perEvent*left), true
+	remainingEvents := max(eventsPerToken*float64(w.OutputTokens)-float64(w.DeliveredEvents), 0)
+	perToken, _ := t.timePerPromptToken.quantile()
+	return time.Duration(perToken*float64(w.PrefillTokens) + perEvent*remainingEvents), true
 }
 
 const (
-	// samplesKept is how many samples are remembered, and minSamples how many an estimate needs.
-	samplesKept, minSamples = 64, 4
-	// lowQuantile of the samples are faster than what is assumed of a stream.
+	// maxSamples is how many samples are kept, and minSamples how many an estimate needs.
+	maxSamples, minSamples = 64, 4
+	// lowQuantile is the quantile of the samples that an estimate uses: this share of them is
+	// lower.
 	lowQuantile = 0.1
 )
 
-// samples are the last ones of a quantity.
+// samples holds the most recent samples of a quantity.
 type samples struct {
-	kept []float64
-	next int
+	values []float64
+	next   int
 }
 
 func (s *samples) add(x float64) {
-	if len(s.kept) < samplesKept {
-		s.kept = append(s.kept, x)
+	if len(s.values) < maxSamples {
+		s.values = append(s.values, x)
 		return
 	}
-	s.kept[s.next] = x
-	s.next = (s.next + 1) % samplesKept
+	s.values[s.next] = x
+	s.next = (s.next + 1) % maxSamples
 }
 
-// low returns a low quantile; false where there are too few samples.
-func (s *samples) low() (float64, bool) {
-	if len(s.kept) < minSamples {
+// quantile returns the lowQuantile of the samples. It returns false if there are too few.
+func (s *samples) quantile() (float64, bool) {
+	if len(s.values) < minSamples {
 		return 0, false
 	}
-	sorted := slices.Sorted(slices.Values(s.kept))
+	sorted := slices.Sorted(slices.Values(s.values))
 	return sorted[int(math.Floor(lowQuantile*float64(len(sorted)-1)))], true
 }
--- a/core/routing/overload_test.go
+++ b/core/routing/overload_test.go
@@ -240,7 +240,7 @@
 func curve(perSecond, within float64) float64 {
 	s := DefaultSettings()
 	s.ByPrompt, s.Choices = true, 6
-	v, rnd, line := NewView(s), rand.New(rand.NewPCG(5, 5)), limits.Line{}
+	v, rnd, line := NewView(s), rand.New(rand.NewPCG(5, 5)), limits.WaitQueue{}
 	for e := range curveEngines {
 		v.Upsert(Endpoint{ID: fmt.Sprint("e", e), Service: "s", Slots: 16, Memory: 2 * peakMemory})
 	}
@@ -289,10 +289,10 @@
 		}
 		for _, id := range slices.Sorted(maps.Keys(waiting)) {
 			w := waiting[id]
-			if line.First(id) {
+			if line.IsFirst(id) {
 				if send(w) {
-					line.Admitted(now)
-				} else if line.FoundFull(now); now.Sub(w.arrived) < curveAim/2 {
+					line.RecordAdmission(now)
+				} else if line.RecordFull(now); now.Sub(w.arrived) < curveAim/2 {
 					continue
 				}
 				line.Leave(id)
--- a/gateway/exchange/announce.go
+++ b/gateway/exchange/announce.go
@@ -49,7 +49,7 @@
 	process, sequence uint64
 	at                time.Duration
 	told              routing.Told
-	uses              map[string]limits.Counted
+	uses              map[string]limits.RetryCounts
 }
 
 // step announces what is due, and returns when the next announcement is, if nothing changes before.
@@ -106,7 +106,7 @@
 		return
 	}
 	told := x.Endpoints.Told()
-	repeats := limits.Repeats(x.Uses())
+	repeats := limits.TotalRetries(x.Uses())
 	x.announceTo(r, &told, x.ownersOf(r, maps.Keys(changed)), repeats > x.toldRepeats.Swap(repeats))
 	if r.sumsUp() {
 		x.digestRepeats(r)
@@ -166,7 +166,7 @@
 	}
 }
 
-func (x *Exchange) announceThis(told routing.Told, uses map[string]limits.Counted, to []net.Addr) {
+func (x *Exchange) announceThis(told routing.Told, uses map[string]limits.RetryCounts, to []net.Addr) {
 	a := encode(told, uses)
 	a.Instance, a.Process = x.Self.ID, x.process
 	x.sendMu.Lock()
--- a/gateway/exchange/announcement.go
+++ b/gateway/exchange/announcement.go
@@ -23,7 +23,7 @@
 )
 
 // encode returns an announcement of what an instance has to tell of endpoints, and of what it has counted.
-func encode(own routing.Told, uses map[string]limits.Counted) *peerv1.Announcement {
+func encode(own routing.Told, uses map[string]limits.RetryCounts) *peerv1.Announcement {
 	a := &peerv1.Announcement{
 		Suspects: own.Suspects[:min(len(own.Suspects), suspectsMost)],
 		Ended:    own.Ended[:min(len(own.Ended), endedMost)],
@@ -80,18 +80,18 @@
 	return out
 }
 
-func encodeUses(of map[string]limits.Counted) []*peerv1.ServiceUse {
+func encodeUses(of map[string]limits.RetryCounts) []*peerv1.ServiceUse {
 	var out []*peerv1.ServiceUse
 	for service, c := range of {
-		out = append(out, &peerv1.ServiceUse{Service: service, Requests: c.Requests, Repeats: c.Repeats})
+		out = append(out, &peerv1.ServiceUse{Service: service, Requests: c.Requests, Repeats: c.Retries})
 	}
 	return out
 }
 
-func decodeUses(of []*peerv1.ServiceUse) map[string]limits.Counted {
-	out := make(map[string]limits.Counted, len(of))
+func decodeUses(of []*peerv1.ServiceUse) map[string]limits.RetryCounts {
+	out := make(map[string]limits.RetryCounts, len(of))
 	for _, u := range of {
-		out[u.Service] = limits.Counted{Requests: u.Requests, Repeats: u.Repeats}
+		out[u.Service] = limits.RetryCounts{Requests: u.Requests, Retries: u.Repeats}
 	}
 	return out
 }
@@ -111,7 +111,7 @@
 }
 
 // decode returns what an announcement tells.
-func decode(a *peerv1.Announcement) (routing.Told, map[string]limits.Counted) {
+func decode(a *peerv1.Announcement) (routing.Told, map[string]limits.RetryCounts) {
 	t := routing.Told{
 		Suspects: a.Suspects, Ended: a.Ended, Placed: make(map[string]routing.Placed, len(a.Placed)),
 		Outcomes: decodeOutcomes(a.Outcomes), Paces: decodePaces(a.Paces),
@@ -127,13 +127,13 @@
 
 // encodeDigest adds what is summed up to a digest. A data centre whose engines are all lost has more to tell than an
 // instance; it is told of twice as many.
-func encodeDigest(d *peerv1.Digest, t routing.Told, uses map[string]limits.Counted) *peerv1.Digest {
+func encodeDigest(d *peerv1.Digest, t routing.Told, uses map[string]limits.RetryCounts) *peerv1.Digest {
 	d.Suspects = t.Suspects[:min(len(t.Suspects), 2*suspectsMost)]
 	d.Ended = t.Ended[:min(len(t.Ended), endedMost)]
 	d.Outcomes, d.Paces, d.Uses = encodeOutcomes(t.Outcomes), encodePaces(t.Paces), encodeUses(uses)
 	return d
 }
 
-func decodeDigest(d *peerv1.Digest) (routing.Told, map[string]limits.Counted) {
+func decodeDigest(d *peerv1.Digest) (routing.Told, map[string]limits.RetryCounts) {
 	return routing.Told{Suspects: d.Suspects, Ended: d.Ended, Outcomes: decodeOutcomes(d.Outcomes), Paces: decodePaces(d.Paces)}, decodeUses(d.Uses)
 }
--- a/gateway/exchange/digest.go
+++ b/gateway/exchange/digest.go
@@ -13,7 +13,7 @@
 	sequence uint64
 	// uses is what the instances of this data centre have counted since this one began to sum up, and own what of it
 	// this instance had counted itself when it looked last.
-	uses, own map[string]limits.Counted
+	uses, own map[string]limits.RetryCounts
 	// told is how many repeats of uses were told.
 	told    uint64
 	digests map[string]*digest
@@ -27,7 +27,7 @@
 }
 
 func newSums() sums {
-	return sums{uses: map[string]limits.Counted{}, own: map[string]limits.Counted{}, digests: map[string]*digest{}}
+	return sums{uses: map[string]limits.RetryCounts{}, own: map[string]limits.RetryCounts{}, digests: map[string]*digest{}}
 }
 
 // count adds what an instance has counted since its last announcement. What it counted before the first one that is heard
@@ -38,14 +38,14 @@
 	}
 }
 
-func (s *sums) add(before, now map[string]limits.Counted) {
+func (s *sums) add(before, now map[string]limits.RetryCounts) {
 	for service, c := range now {
 		b := before[service]
-		if c.Requests < b.Requests || c.Repeats < b.Repeats {
+		if c.Requests < b.Requests || c.Retries < b.Retries {
 			continue
 		}
 		u := s.uses[service]
-		s.uses[service] = limits.Counted{Requests: u.Requests + c.Requests - b.Requests, Repeats: u.Repeats + c.Repeats - b.Repeats}
+		s.uses[service] = limits.RetryCounts{Requests: u.Requests + c.Requests - b.Requests, Retries: u.Retries + c.Retries - b.Retries}
 	}
 }
 
@@ -80,10 +80,10 @@
 
 // repeatsToTell tells whether so much was sent again in this data centre that the others should know now.
 func (x *Exchange) repeatsToTell() bool {
-	own := limits.Repeats(x.Uses())
+	own := limits.TotalRetries(x.Uses())
 	x.heardMu.Lock()
 	defer x.heardMu.Unlock()
-	return limits.Repeats(x.sums.uses)+own-limits.Repeats(x.sums.own) >= x.sums.told+repeatsSoon
+	return limits.TotalRetries(x.sums.uses)+own-limits.TotalRetries(x.sums.own) >= x.sums.told+repeatsSoon
 }
 
 func (x *Exchange) tellSums(r *roster, d *peerv1.Digest) {
@@ -114,10 +114,10 @@
 
 // newDigest takes what this instance has counted itself into the sums, and returns the next digest without them. The caller
 // holds heardMu.
-func (x *Exchange) newDigest(uses map[string]limits.Counted) *peerv1.Digest {
+func (x *Exchange) newDigest(uses map[string]limits.RetryCounts) *peerv1.Digest {
 	x.sums.add(x.sums.own, uses)
 	x.sums.own = uses
-	x.sums.told = limits.Repeats(x.sums.uses)
+	x.sums.told = limits.TotalRetries(x.sums.uses)
 	x.sums.sequence++
 	return &peerv1.Digest{DataCentre: x.Self.DataCentre, Instance: x.Self.ID, Process: x.process, Sequence: x.sums.sequence}
 }
--- a/gateway/exchange/exchange.go
+++ b/gateway/exchange/exchange.go
@@ -37,9 +37,9 @@
 	Told() routing.Told
 	// Heard takes what another instance told, or several together did; the zero value forgets it. uses is what it has
 	// counted by service, nil where that is not told.
-	Heard(instance string, t routing.Told, uses map[string]limits.Counted)
+	Heard(instance string, t routing.Told, uses map[string]limits.RetryCounts)
 	// Counted takes what another instance, or several together, have counted by service.
-	Counted(instance string, uses map[string]limits.Counted)
+	Counted(instance string, uses map[string]limits.RetryCounts)
 	// SetOwned says of which endpoints this instance hears all that others place there.
 	SetOwned(owned func(endpoint string) bool)
 	// Summary returns what this instance knows of an endpoint that it owns, for another instance that asks.
@@ -65,7 +65,7 @@
 	// Rollouts is nil where services are not moved to other builds.
 	Rollouts Rollouts
 	// Uses returns what this instance has counted, by service.
-	Uses func() map[string]limits.Counted
+	Uses func() map[string]limits.RetryCounts
 	// Clock also runs while the machine is suspended.
 	Clock clock.Now
 	Log   *logrus.Entry
--- a/gateway/exchange/exchange_bench_test.go
+++ b/gateway/exchange/exchange_bench_test.go
@@ -55,11 +55,11 @@
 
 func (v *viewed) Told() routing.Told { return routing.Told{Placed: v.view.Own()} }
 
-func (v *viewed) Heard(instance string, t routing.Told, _ map[string]limits.Counted) {
+func (v *viewed) Heard(instance string, t routing.Told, _ map[string]limits.RetryCounts) {
 	v.view.SetPeer(time.Time{}, instance, t)
 }
 
-func (v *viewed) Counted(string, map[string]limits.Counted) {}
+func (v *viewed) Counted(string, map[string]limits.RetryCounts) {}
 
 func (v *viewed) SetOwned(owned func(string) bool) { v.view.SetOwned(owned) }
 
--- a/gateway/exchange/exchange_test.go
+++ b/gateway/exchange/exchange_test.go
@@ -40,7 +40,7 @@
 		Outcomes: map[string]health.Counts{"p1": {Good: 12.3, Bad: 4.6}}, Paces: map[string]float64{"e4": 3.7},
 		Read: []routing.Read{{Endpoint: "e1", Prompt: 0x5c1e}},
 	}
-	uses := map[string]limits.Counted{"plain": {Requests: 100, Repeats: 3}}
+	uses := map[string]limits.RetryCounts{"plain": {Requests: 100, Retries: 3}}
 	raw, err := proto.Marshal(encode(told, uses))
 	assert.NilError(t, err)
 	var a peerv1.Announcement
@@ -60,7 +60,7 @@
 		told.Outcomes[id], told.Paces[id] = health.Counts{Good: 900, Bad: float64(i)}, 8
 		told.Read = append(told.Read, routing.Read{Endpoint: id, Prompt: 1 << 60})
 	}
-	uses := map[string]limits.Counted{"plain": {Requests: 1 << 40, Repeats: 1 << 30}, "engines": {Requests: 1 << 40, Repeats: 1 << 30}}
+	uses := map[string]limits.RetryCounts{"plain": {Requests: 1 << 40, Retries: 1 << 30}, "engines": {Requests: 1 << 40, Retries: 1 << 30}}
 	a := encode(told, uses)
 	raw, err := proto.Marshal(a)
 	assert.NilError(t, err)
--- a/gateway/exchange/fleet_test.go
+++ b/gateway/exchange/fleet_test.go
@@ -64,9 +64,9 @@
 
 	mu    sync.Mutex
 	told  routing.Told
-	uses  map[string]limits.Counted
+	uses  map[string]limits.RetryCounts
 	view  *routing.View
-	heard map[string]map[string]limits.Counted
+	heard map[string]map[string]limits.RetryCounts
 
 	crashes register
 }
@@ -119,20 +119,20 @@
 	return n.told
 }
 
-func (n *node) counted() map[string]limits.Counted {
+func (n *node) counted() map[string]limits.RetryCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.uses)
 }
 
-func (n *node) Heard(instance string, t routing.Told, uses map[string]limits.Counted) {
+func (n *node) Heard(instance string, t routing.Told, uses map[string]limits.RetryCounts) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.SetPeer(time.Now(), instance, t)
 	n.heard[instance] = uses
 }
 
-func (n *node) Counted(instance string, uses map[string]limits.Counted) {
+func (n *node) Counted(instance string, uses map[string]limits.RetryCounts) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heard[instance] = uses
@@ -168,7 +168,7 @@
 	defer n.mu.Unlock()
 	sum := uint64(0)
 	for _, uses := range n.heard {
-		sum += uses["s"].Repeats
+		sum += uses["s"].Retries
 	}
 	return sum
 }
@@ -235,7 +235,7 @@
 	assert.NilError(w, err)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	n := &node{index: i, log: log, uses: map[string]limits.Counted{}, view: routing.NewView(routing.DefaultSettings()), heard: map[string]map[string]limits.Counted{}}
+	n := &node{index: i, log: log, uses: map[string]limits.RetryCounts{}, view: routing.NewView(routing.DefaultSettings()), heard: map[string]map[string]limits.RetryCounts{}}
 	n.ready.Store(true)
 	n.Exchange = New(Options{
 		Self: w.self(i), Conn: conn, Store: w.store, Ready: n.ready.Load, Access: func() source.Access { return source.Unknown },
--- a/gateway/exchange/knowledge_test.go
+++ b/gateway/exchange/knowledge_test.go
@@ -19,7 +19,7 @@
 		assert.Equal(w, w.nodes[0].repeats(), uint64(0))
 		for _, n := range w.nodes {
 			n.mu.Lock()
-			n.uses["s"] = limits.Counted{Requests: 100, Repeats: sent}
+			n.uses["s"] = limits.RetryCounts{Requests: 100, Retries: sent}
 			n.mu.Unlock()
 		}
 		took := w.until(10*time.Second, func(n *node) bool { return n.repeats() == size*sent })
@@ -29,7 +29,7 @@
 }
 
 // TestRepeatsAreKnownSoon: what is sent again is known to all but for a few a quarter of a second later, since all instances count against one
-// bound: with sums told twice a second they exceed it by a third where all engines refuse (limits.TestLargeFleetKeepsTheWindow).
+// bound: with sums told twice a second they exceed it by a third where all engines refuse (limits.TestLargeFleetRetriesStayWithinBound).
 func TestRepeatsAreKnownSoon(t *testing.T) {
 	const size = 100
 	runFleet(t, size, true, func(w *fleet) {
@@ -38,7 +38,7 @@
 				n := w.nodes[i]
 				n.mu.Lock()
 				c := n.uses["s"]
-				n.uses["s"] = limits.Counted{Requests: c.Requests, Repeats: c.Repeats + 2}
+				n.uses["s"] = limits.RetryCounts{Requests: c.Requests, Retries: c.Retries + 2}
 				n.mu.Unlock()
 				n.Changed()
 			}
--- a/gateway/fleet/codec.go
+++ b/gateway/fleet/codec.go
@@ -117,8 +117,8 @@
 
 // sum adds up what the live members besides self use, by limit, and tells how many of
 // them have told.
-func (t *usageTable) sum(self string, members []membership.Member) (map[string]limits.Usage, limits.Fleet) {
-	out, fleet := map[string]limits.Usage{}, limits.Fleet{}
+func (t *usageTable) sum(self string, members []membership.Member) (map[string]limits.Usage, limits.FleetUsage) {
+	out, fleet := map[string]limits.Usage{}, limits.FleetUsage{}
 	for i := range members {
 		if members[i].State != membership.Alive {
 			continue
@@ -128,7 +128,7 @@
 		if members[i].ID == self || r == nil {
 			continue
 		}
-		fleet.Known++
+		fleet.Reported++
 		for k, u := range r.usage {
 			o := out[k]
 			out[k] = limits.Usage{Running: o.Running + u.Running, Rate: o.Rate + u.Rate}
--- a/gateway/fleet/fleet.go
+++ b/gateway/fleet/fleet.go
@@ -56,7 +56,7 @@
 	usage usageTable
 	// others is the sum of the others' usage, by limit.
 	others map[string]limits.Usage
-	known  limits.Fleet // without a usage
+	known  limits.FleetUsage // without a usage
 
 	misses, beats tally.Counter
 }
@@ -295,7 +295,7 @@
 }
 
 // Usage returns what is known of the others' use of a limit, as of the last heartbeat.
-func (f *Fleet) Usage(key string) limits.Fleet {
+func (f *Fleet) Usage(key string) limits.FleetUsage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.known
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -135,7 +135,7 @@
 		if a.reading > 0 {
 			took := time.Since(a.sentAt)
 			f.Placement.Read(id, a.reading, took)
-			f.streamTimes.change(a.session.req.service, func(t *limits.StreamTimes) { t.ObserveRead(a.reading, took) })
+			f.streamTimes.change(a.session.req.service, func(t *limits.StreamTimes) { t.ObservePrefill(a.reading, took) })
 		}
 		f.reads.add(a.session.req.promptKey(), id)
 		f.Others.Freed(id)
--- a/gateway/forward/await.go
+++ b/gateway/forward/await.go
@@ -18,17 +18,17 @@
 // lines are who waits for engines, by service. The zero value is empty; it is safe for concurrent use.
 type lines struct {
 	mu   sync.Mutex
-	all  map[string]*limits.Line
+	all  map[string]*limits.WaitQueue
 	next atomic.Uint64
 }
 
-func (l *lines) get(service string) *limits.Line {
+func (l *lines) get(service string) *limits.WaitQueue {
 	if l.all == nil {
-		l.all = map[string]*limits.Line{}
+		l.all = map[string]*limits.WaitQueue{}
 	}
 	line := l.all[service]
 	if line == nil {
-		line = &limits.Line{}
+		line = &limits.WaitQueue{}
 		l.all[service] = line
 	}
 	return line
@@ -127,20 +127,20 @@
 func (f *Forwarder) short(service string) bool {
 	f.lines.mu.Lock()
 	defer f.lines.mu.Unlock()
-	return f.lines.get(service).Short(time.Now())
+	return f.lines.get(service).RecentlyFull(time.Now())
 }
 
 func (f *Forwarder) expected(req *request) time.Duration {
 	f.lines.mu.Lock()
 	defer f.lines.mu.Unlock()
-	return f.lines.get(req.service).Expected(time.Now())
+	return f.lines.get(req.service).ExpectedWait(time.Now())
 }
 
 // isFirst tells whether it is the request's turn.
 func (f *Forwarder) isFirst(req *request, id uint64) bool {
 	f.lines.mu.Lock()
 	defer f.lines.mu.Unlock()
-	return f.lines.get(req.service).First(id)
+	return f.lines.get(req.service).IsFirst(id)
 }
 
 // admitted tells whether an engine has room for the first in line, and claims it.
@@ -150,14 +150,14 @@
 	defer f.lines.mu.Unlock()
 	line := f.lines.get(req.service)
 	if errors.Is(err, routing.ErrFull) {
-		line.FoundFull(time.Now())
+		line.RecordFull(time.Now())
 		return false
 	}
 	if err == nil {
 		req.asks = 0
 		req.engine, req.claimedAt = &d, time.Now()
 	}
-	line.Admitted(time.Now())
+	line.RecordAdmission(time.Now())
 	return true
 }
 
--- a/gateway/forward/budget.go
+++ b/gateway/forward/budget.go
@@ -11,10 +11,10 @@
 // budgets bound what is sent once more, for each service. All instances share the bound and tell each
 // other what they counted. Safe for concurrent use.
 type budgets struct {
-	set     limits.WindowSettings
+	set     limits.RetryWindowSettings
 	now     clock.Now
 	mu      sync.Mutex
-	windows map[string]*limits.Window
+	windows map[string]*limits.RetryWindow
 }
 
 const (
@@ -27,14 +27,14 @@
 )
 
 func newBudgets(s *Settings, now clock.Now) *budgets {
-	set := limits.WindowSettings{Share: s.RetryShare, Reserve: s.RetryReserve, Length: s.RetryWindow, Margin: margin, Kept: kept}
-	return &budgets{set: set, now: now, windows: map[string]*limits.Window{}}
+	set := limits.RetryWindowSettings{Share: s.RetryShare, Reserve: s.RetryReserve, Length: s.RetryWindow, Margin: margin, RecoveryMargin: kept}
+	return &budgets{set: set, now: now, windows: map[string]*limits.RetryWindow{}}
 }
 
-func (b *budgets) get(service string) *limits.Window {
+func (b *budgets) get(service string) *limits.RetryWindow {
 	w := b.windows[service]
 	if w == nil {
-		w = limits.NewWindow(b.set)
+		w = limits.NewRetryWindow(b.set)
 		b.windows[service] = w
 	}
 	return w
@@ -43,47 +43,47 @@
 func (b *budgets) request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.get(service).Request(b.now())
+	b.get(service).RecordRequest(b.now())
 }
 
 // room tells whether there is room for one repetition.
-func (b *budgets) room(service string, s limits.Sharing, recovery bool) bool {
+func (b *budgets) room(service string, s limits.PeerCoverage, recovery bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.get(service).Room(b.now(), s, recovery)
+	return b.get(service).CanRetry(b.now(), s, recovery)
 }
 
 // repeat takes one repetition, and returns false when there is no room.
-func (b *budgets) repeat(service string, s limits.Sharing, recovery bool) bool {
+func (b *budgets) repeat(service string, s limits.PeerCoverage, recovery bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.get(service).Repeat(b.now(), s, recovery)
+	return b.get(service).TryRetry(b.now(), s, recovery)
 }
 
 // Uses returns what this instance has counted, by service.
-func (f *Forwarder) Uses() map[string]limits.Counted {
+func (f *Forwarder) Uses() map[string]limits.RetryCounts {
 	f.budgets.mu.Lock()
 	defer f.budgets.mu.Unlock()
-	out := make(map[string]limits.Counted, len(f.budgets.windows))
+	out := make(map[string]limits.RetryCounts, len(f.budgets.windows))
 	for service, w := range f.budgets.windows {
-		out[service] = w.Own()
+		out[service] = w.LocalCounts()
 	}
 	return out
 }
 
 // HeardUses takes what another instance has counted; nil when it fell silent.
-func (f *Forwarder) HeardUses(peer string, uses map[string]limits.Counted) {
+func (f *Forwarder) HeardUses(peer string, uses map[string]limits.RetryCounts) {
 	if f.Settings.Without.SharedRetries {
 		return
 	}
 	f.budgets.mu.Lock()
 	defer f.budgets.mu.Unlock()
 	for service, c := range uses {
-		f.budgets.get(service).Heard(f.budgets.now(), peer, c)
+		f.budgets.get(service).UpdatePeer(f.budgets.now(), peer, c)
 	}
 	if uses == nil {
 		for _, w := range f.budgets.windows {
-			w.Forget(peer)
+			w.RemovePeer(peer)
 		}
 	}
 }
@@ -105,12 +105,12 @@
 	return f.budgets.room(service, f.sharing(), recovery)
 }
 
-func (f *Forwarder) sharing() limits.Sharing {
+func (f *Forwarder) sharing() limits.PeerCoverage {
 	heard, known := f.Others.Instances()
 	if f.Settings.Without.SharedRetries {
 		heard = 1
 	}
-	return limits.Sharing{Heard: heard, Known: known}
+	return limits.PeerCoverage{Reporting: heard, Known: known}
 }
 
 // leastWindow is the window used where settings name none.
--- a/gateway/forward/deadline.go
+++ b/gateway/forward/deadline.go
@@ -38,19 +38,19 @@
 	if req.deadline.IsZero() {
 		return nil
 	}
-	work := limits.StreamWork{Unread: req.PromptTokens, OutputTokens: req.OutputTokens, Made: made(req.LastEvent)}
+	work := limits.StreamWork{PrefillTokens: req.PromptTokens, OutputTokens: req.OutputTokens, DeliveredEvents: made(req.LastEvent)}
 	if prefilled {
-		work.Unread = 0
+		work.PrefillTokens = 0
 	}
 	var least time.Duration
 	var known bool
-	f.streamTimes.change(req.service, func(t *limits.StreamTimes) { least, known = t.Least(work) })
+	f.streamTimes.change(req.service, func(t *limits.StreamTimes) { least, known = t.MinDuration(work) })
 	left := time.Until(req.deadline)
 	if !known || least <= left {
 		return nil
 	}
 	return refuse(http.StatusServiceUnavailable, "the stream can't end in time", 0).with(logrus.Fields{
-		"least_ms": least.Milliseconds(), "left_ms": left.Milliseconds(), "prompt_tokens": work.Unread, "made": work.Made,
+		"least_ms": least.Milliseconds(), "left_ms": left.Milliseconds(), "prompt_tokens": work.PrefillTokens, "made": work.DeliveredEvents,
 	})
 }
 
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -270,7 +270,7 @@
 const choices = 6
 
 // uses returns what this instance has counted, by service.
-func (f *Front) uses() map[string]limits.Counted { return f.forwarder.Uses() }
+func (f *Front) uses() map[string]limits.RetryCounts { return f.forwarder.Uses() }
 
 // queueFactor times its slots is what an endpoint may hold: what waits there for a slot is served
 // sooner than what waits here, as long as the wait is within the aim. At three times the slots, a
--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -23,7 +23,7 @@
 	return t
 }
 
-func (s *shared) Heard(instance string, t routing.Told, uses map[string]limits.Counted) {
+func (s *shared) Heard(instance string, t routing.Told, uses map[string]limits.RetryCounts) {
 	f := s.f
 	f.placement.SetPeer(instance, t)
 	if len(t.Ended) > 0 {
@@ -32,7 +32,7 @@
 	f.forwarder.HeardUses(instance, uses)
 }
 
-func (s *shared) Counted(instance string, uses map[string]limits.Counted) {
+func (s *shared) Counted(instance string, uses map[string]limits.RetryCounts) {
 	s.f.forwarder.HeardUses(instance, uses)
 }
 
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -53,7 +53,7 @@
 		AckTimeout: r.AckTimeout, WaitForEndpoint: r.Wait, MaxAttempts: r.MaxAttempts,
 	}
 	e := &d.Settings.Endpoints
-	d.retries.budget = limits.NewBudget(e.RetryShare, e.RetryReserve)
+	d.retries.budget = limits.NewRetryBudget(e.RetryShare, e.RetryReserve)
 	d.metrics = newMetrics(d.Scope)
 	d.judge.Ended, d.judge.HasEnded, d.judge.Nearby = d.Crashes.Ended, d.hasEnded, d.nearby
 }
@@ -61,19 +61,19 @@
 // retryBudget is a budget shared by all requests of the instance.
 type retryBudget struct {
 	mu     sync.Mutex
-	budget *limits.Budget
+	budget *limits.RetryBudget
 }
 
 func (b *retryBudget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Request()
+	b.budget.RecordRequest()
 }
 
 func (b *retryBudget) retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget.Retry()
+	return b.budget.TryRetry()
 }
 
 // metrics are the counters of the hot path, made once.
--- a/gateway/pipeline/limit.go
+++ b/gateway/pipeline/limit.go
@@ -63,7 +63,7 @@
 	}
 	now := time.Now()
 	t.Configure(now, x.Team.Quota)
-	t.Share(fleet)
+	t.SetFleetUsage(fleet)
 	if refusal := t.Acquire(now); refusal != nil {
 		l.metrics.scope.Tagged(map[string]string{"reason": string(refusal.Reason)}).Counter("refused").Inc(1)
 		return apierr.New(apierr.TeamLimit, "the team's limit is reached (%s)", refusal.Reason).WithRetry(refusal.RetryAfter)
@@ -85,7 +85,7 @@
 	}
 	l.mu.Lock()
 	q := l.queue(x.Deployment.Service)
-	q.Hint(likelyTime(x))
+	q.HintServiceTime(likelyTime(x))
 	l.nextID++
 	id := l.nextID
 	verdict, wait := q.Offer(id, class, budget)
@@ -209,7 +209,7 @@
 	now := time.Now()
 	out := make(map[string]limits.Usage, len(l.teams)+len(l.queues))
 	for name, t := range l.teams {
-		if t.Notable(now) {
+		if t.ShouldReport(now) {
 			out[teamUsage+name] = t.Usage(now)
 		}
 	}
