--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -53,7 +53,7 @@
 		AckTimeout: r.AckTimeout, WaitForEndpoint: r.Wait, MaxAttempts: r.MaxAttempts,
 	}
 	e := &d.Settings.Endpoints
-	d.retries.budget = limits.NewBudget(e.RetryShare, e.RetryReserve)
+	d.retries.budget = limits.NewRetryBudget(e.RetryShare, e.RetryReserve)
 	d.metrics = newMetrics(d.Scope)
 	d.judge.Ended, d.judge.HasEnded, d.judge.Nearby = d.Crashes.Ended, d.hasEnded, d.nearby
 }
@@ -61,19 +61,19 @@
 // retryBudget is a budget shared by all requests of the instance.
 type retryBudget struct {
 	mu     sync.Mutex
-	budget *limits.Budget
+	budget *limits.RetryBudget
 }
 
 func (b *retryBudget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Request()
+	b.budget.RecordRequest()
 }
 
 func (b *retryBudget) retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget.Retry()
+	return b.budget.TryRetry()
 }
 
 // metrics are the counters of the hot path, made once.
@@ -98,7 +98,7 @@
 }
 
 func (m *metrics) generation(st generation.Stats) {
-	m.recoveriesSame.Inc(int64(st.ResumesSame))
+	m.recoveriesSame.Inc(int64(st.ResumesSameStream))
 	m.recoveriesElsewhere.Inc(int64(st.ResumesElsewhere))
 	m.restarts.Inc(int64(st.Restarts))
 	m.silences.Inc(int64(st.Silences))
@@ -107,7 +107,7 @@
 	m.staleTokens.Inc(int64(st.StaleTokens))
 	m.repeatedTokens.Inc(int64(st.RepeatedTokens))
 	m.gaps.Inc(int64(st.Gaps))
-	m.falseAlarm.Inc(int64(st.FalseSuspects))
+	m.falseAlarm.Inc(int64(st.FalseSuspicions))
 	m.prefilledAgain.Inc(int64(st.PrefilledAgain))
-	m.thrownAway.Inc(int64(st.ThrownAway))
+	m.thrownAway.Inc(int64(st.DiscardedTokens))
 }
