--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -102,7 +102,7 @@
 		a.placed.Unread = s.req.PromptTokens
 	}
 	if a.placed.Unread > 0 && !cached {
-		a.reading = a.placed.Unread + s.f.Placement.Unread(e.ID)
+		a.reading = a.placed.Unread + s.f.Placement.UnreadTokens(e.ID)
 	}
 	a.sentAt = time.Now()
 	a.loss = s.req.loss(e)
@@ -130,11 +130,11 @@
 		f, id := a.session.f, a.endpoint.ID
 		a.trial.Answered(a.readTime(time.Now()))
 		f.Placement.Release(id, routing.Placed{Unread: a.placed.Unread})
-		f.Placement.Stored(id, a.session.req.promptKey())
+		f.Placement.RecordCachedPrompt(id, a.session.req.promptKey())
 		f.Placement.Succeeded(id)
 		if a.reading > 0 {
 			took := time.Since(a.sentAt)
-			f.Placement.Read(id, a.reading, took)
+			f.Placement.RecordPrefill(id, a.reading, took)
 			f.streamTimes.change(a.session.req.service, func(t *limits.StreamTimes) { t.ObserveRead(a.reading, took) })
 		}
 		f.reads.add(a.session.req.promptKey(), id)
@@ -229,7 +229,7 @@
 func (a *attempt) countLost() {
 	p, id := a.session.f.Placement, a.endpoint.ID
 	p.Failed(id)
-	p.Outcome(id, false)
+	p.RecordOutcome(id, false)
 	a.trial.Lost()
 }
 
@@ -244,7 +244,7 @@
 	if x.Status() < http.StatusInternalServerError {
 		m.failure = generation.Invalid
 	}
-	a.session.f.Placement.Outcome(a.endpoint.ID, m.failure == generation.Invalid)
+	a.session.f.Placement.RecordOutcome(a.endpoint.ID, m.failure == generation.Invalid)
 	if m.failure != generation.Invalid {
 		a.trial.Failed()
 	}
@@ -258,7 +258,7 @@
 		e, err := events.next()
 		if err == io.EOF {
 			a.session.f.Placement.Succeeded(a.endpoint.ID)
-			a.session.f.Placement.Outcome(a.endpoint.ID, true)
+			a.session.f.Placement.RecordOutcome(a.endpoint.ID, true)
 			x.Finish()
 			return message{kind: attemptDone}
 		}
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -161,7 +161,7 @@
 	}
 	f.ending, f.end = context.WithCancel(context.Background())
 	if held != nil {
-		f.judge = crashes.Judge{Ended: held.Ended, HasEnded: f.hasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.Nearby}
+		f.judge = crashes.Judge{Ended: held.Ended, HasEnded: f.hasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.DataCentreFailures}
 	}
 	return f
 }
--- a/gateway/forward/locate.go
+++ b/gateway/forward/locate.go
@@ -45,7 +45,7 @@
 // has answered.
 func (f *Forwarder) locate(ctx context.Context, req *request) {
 	key := req.promptKey()
-	if f.Settings.Without.Search || key == 0 || req.PromptTokens < locateLeast || f.Placement.Holds(key) {
+	if f.Settings.Without.Search || key == 0 || req.PromptTokens < locateLeast || f.Placement.HoldsPrompt(key) {
 		return
 	}
 	engines := f.Placement.Likely(f.engineRequest(req), locateMost)
@@ -66,7 +66,7 @@
 	found := false
 	for i := 0; i < len(engines) && !found; i++ {
 		<-answers
-		found = f.Placement.Holds(key)
+		found = f.Placement.HoldsPrompt(key)
 	}
 	took := time.Since(began)
 	f.metrics.search.RecordDuration(took)
@@ -113,7 +113,7 @@
 	}
 	for _, p := range parts {
 		if p.Tokens >= locateLeast {
-			f.Placement.Stored(id, p.ID)
+			f.Placement.RecordCachedPrompt(id, p.ID)
 		}
 	}
 }
--- a/gateway/forward/outcome.go
+++ b/gateway/forward/outcome.go
@@ -40,7 +40,7 @@
 // learn takes what an answer says of its endpoint.
 func (f *Forwarder) learn(id string, a *platform.Answer) {
 	if a.HasLoad {
-		f.Placement.Report(id, a.Load.Running, a.Load.Waiting)
+		f.Placement.RecordLoad(id, a.Load.Running, a.Load.Waiting)
 	}
 }
 
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -236,7 +236,7 @@
 	if !told.Signed && x.Status() < http.StatusMultipleChoices {
 		x.Abort()
 		t.Failed()
-		f.Placement.Outcome(e.ID, false)
+		f.Placement.RecordOutcome(e.ID, false)
 		return nil, unknown, errUnsigned
 	}
 	a, err := p.receive(x)
@@ -248,7 +248,7 @@
 	}
 	f.Placement.Succeeded(e.ID)
 	good := a.status < http.StatusInternalServerError
-	f.Placement.Outcome(e.ID, good)
+	f.Placement.RecordOutcome(e.ID, good)
 	if good {
 		t.Answered(time.Since(l.SentAt))
 	} else {
@@ -267,7 +267,7 @@
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) { // the endpoint's doing, not the caller's
 		p.f.Placement.Lost(l.Endpoint)
-		p.f.Placement.Outcome(l.Endpoint, false)
+		p.f.Placement.RecordOutcome(l.Endpoint, false)
 		t.Lost()
 		t.Late(time.Since(l.SentAt))
 	}
--- a/gateway/forward/probe.go
+++ b/gateway/forward/probe.go
@@ -32,7 +32,7 @@
 		if err == nil {
 			m.alive, m.events = s.f.stillHas(&a.endpoint, &report, s.req.ID, countable)
 		}
-		placed := s.f.Placement.At(a.endpoint.ID)
+		placed := s.f.Placement.PlacedAt(a.endpoint.ID)
 		s.f.Log.Decision(s.req.ID, "engine asked", logrus.Fields{
 			"endpoint": a.endpoint.ID, "alive": m.alive, "events": m.events, "error": errorText(err),
 			"running": report.Running, "waiting": report.Waiting, "used": report.Used, "placed": placed.Open, "placed_tokens": placed.Tokens,
--- a/gateway/forward/progress.go
+++ b/gateway/forward/progress.go
@@ -50,7 +50,7 @@
 // expect spares an engine that reads a long prompt the question whether it is alive, until it is late. Each question takes a
 // new connection.
 func (s *session) expect(now time.Time, a *attempt) {
-	if usual, known := s.f.Placement.Expected(s.req.service, a.reading); known {
+	if usual, known := s.f.Placement.ExpectedPrefillTime(s.req.service, a.reading); known {
 		late := time.Duration(lateBy * float64(usual))
 		s.machine.Expect(a.number, now.Add(min(late, s.req.route.TargetLatency/aimParts)))
 	}
@@ -59,7 +59,7 @@
 // reading records that an engine which is alive has not read the prompt yet.
 func (s *session) reading(m message) {
 	if a := s.attempts[m.attempt]; m.alive && a != nil && !a.began && a.reading > 0 {
-		s.f.Placement.Reading(a.endpoint.ID, a.reading, time.Since(a.sentAt))
+		s.f.Placement.RecordPrefillProgress(a.endpoint.ID, a.reading, time.Since(a.sentAt))
 	}
 }
 
--- a/gateway/forward/rollouts.go
+++ b/gateway/forward/rollouts.go
@@ -76,7 +76,7 @@
 	if a == nil || a.began || a.over || a.trial == nil || a.reading < thousand {
 		return
 	}
-	usual, known := s.f.Placement.Expected(s.req.service, a.reading)
+	usual, known := s.f.Placement.ExpectedPrefillTime(s.req.service, a.reading)
 	if known && now.Sub(a.sentAt) >= time.Duration(slowTimes*float64(usual)) {
 		a.trial.Late(a.readTime(now))
 	}
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -83,7 +83,7 @@
 // admitStream waits until an engine has room for a stream, or refuses it.
 func (f *Forwarder) admitStream(ctx context.Context, req *request) *refusal {
 	wentOn := req.LastEvent != ""
-	if refused := f.refuseTooLate(req, wentOn || f.Placement.Holds(req.promptKey())); refused != nil {
+	if refused := f.refuseTooLate(req, wentOn || f.Placement.HoldsPrompt(req.promptKey())); refused != nil {
 		return refused
 	}
 	if refused := f.awaitEngine(ctx, req); refused != nil {
@@ -94,7 +94,7 @@
 	}
 	f.locate(ctx, req)
 	req.engine = nil // claimed before it was known who has read the prompt
-	return f.refuseTooLate(req, f.Placement.Holds(req.promptKey()))
+	return f.refuseTooLate(req, f.Placement.HoldsPrompt(req.promptKey()))
 }
 
 // deadlineUnset is the deadline of a stream whose caller and route set none.
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -328,5 +328,5 @@
 
 // sweep closes idle connections that endpoints are about to close, or whose endpoint is gone.
 func (f *Front) sweep(ctx context.Context) {
-	pause.Every(ctx, sweepEvery, func() { f.pool.Retain(f.placement.Known) })
+	pause.Every(ctx, sweepEvery, func() { f.pool.Retain(f.placement.IsListed) })
 }
--- a/gateway/front/rollouts.go
+++ b/gateway/front/rollouts.go
@@ -45,7 +45,7 @@
 	if service == nil || service.Engine == nil {
 		return 0
 	}
-	usual, _ := f.placement.Expected(name, service.Engine.KVCapacityTokens/settleParts)
+	usual, _ := f.placement.ExpectedPrefillTime(name, service.Engine.KVCapacityTokens/settleParts)
 	return usual/2 + settleSpare
 }
 
--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -46,7 +46,9 @@
 	return s.f.placement.Claim(endpoint, peer, c)
 }
 
-func (s *shared) Learn(summary *routing.Summary, prompt uint64) { s.f.placement.Learn(summary, prompt) }
+func (s *shared) Learn(summary *routing.Summary, prompt uint64) {
+	s.f.placement.ApplySummary(summary, prompt)
+}
 
 // others returns the other instances, as forwarding sees them.
 func (f *Front) others() forward.Others {
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -1,9 +1,10 @@
-// Package placement holds what this instance knows of the endpoints and lets many requests choose at
-// once. The decisions are those of package routing.
+// Package placement holds what this instance knows about the endpoints, and chooses endpoints for
+// concurrent requests. Package routing makes the decisions; this package adds the lock, the clock
+// and the random numbers.
 //
-// Failure modes: the list of endpoints lags, so a chosen one may be gone; it refuses or can't be
-// reached, and the caller chooses again without it. An endpoint that ended is remembered as gone until
-// the list drops it.
+// Failure modes: the list of endpoints lags, so a chosen endpoint may be gone. It then refuses or
+// can't be reached, and the caller chooses again without it. An endpoint that was replaced is
+// remembered as gone until the list drops it.
 package placement
 
 import (
@@ -14,19 +15,19 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// Placement is the endpoints as this instance knows them. It is safe for concurrent use.
+// Placement is this instance's view of the endpoints. It is safe for concurrent use.
 type Placement struct {
-	mu   sync.Mutex
-	view *routing.View
-	rnd  *rand.Rand
+	mu     sync.Mutex
+	view   *routing.View
+	random *rand.Rand
 }
 
-// New returns an empty placement.
+// New returns a Placement without endpoints. seed seeds the random choices.
 func New(s routing.Settings, seed uint64) *Placement {
-	return &Placement{view: routing.NewView(s), rnd: rand.New(rand.NewPCG(seed, seed))}
+	return &Placement{view: routing.NewView(s), random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// SetEndpoints takes the list of endpoints; those it does not hold are dropped.
+// SetEndpoints replaces the list of endpoints. Endpoints that are not in the list are dropped.
 func (p *Placement) SetEndpoints(list []routing.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,79 +39,82 @@
 	p.view.Retain(keep)
 }
 
-// Pick chooses an endpoint.
+// Pick chooses an endpoint. The error is [routing.ErrNone] when no endpoint is eligible, and
+// [routing.ErrFull] when eligible endpoints exist but all are full.
 func (p *Placement) Pick(r *routing.Request) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Pick(time.Now(), r, p.rnd)
+	return p.view.Pick(time.Now(), r, p.random)
 }
 
-// Likely returns the n endpoints at which the prompt of a request was most likely placed.
+// Likely returns the n endpoints at which the prompt of a request was most likely placed, the most
+// likely first. It returns all endpoints when the choice does not go by the prompt, and none for a
+// request without a prompt.
 func (p *Placement) Likely(r *routing.Request, n int) []routing.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Likely(time.Now(), r, n)
 }
 
-// Get returns an endpoint.
+// Get returns an endpoint; false when it is not listed.
 func (p *Placement) Get(id string) (routing.Endpoint, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Get(id)
 }
 
-// InUse tells whether requests of this instance, or copies for them, are at an endpoint.
+// InUse reports whether requests of this instance, or copies for them, are placed at an endpoint.
 func (p *Placement) InUse(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.InUse(id)
 }
 
-// Known tells whether the list holds an endpoint.
-func (p *Placement) Known(id string) bool {
+// IsListed reports whether an endpoint is in the list.
+func (p *Placement) IsListed(id string) bool {
 	_, ok := p.Get(id)
 	return ok
 }
 
-// Sent records a request to an endpoint, and what it takes there.
-func (p *Placement) Sent(id string, w routing.Placed) {
+// Sent records that a request was sent to an endpoint, and what it occupies there.
+func (p *Placement) Sent(id string, placed routing.Placed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Sent(time.Now(), id)
-	p.view.Place(id, w)
+	p.view.Place(id, placed)
 }
 
-// Finished records the end of a request at an endpoint, and gives back what it took.
-func (p *Placement) Finished(id string, w routing.Placed) {
+// Finished records the end of a request at an endpoint, and releases what it occupied.
+func (p *Placement) Finished(id string, placed routing.Placed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Finished(time.Now(), id)
-	p.view.Release(id, w)
+	p.view.Release(id, placed)
 }
 
-// Place records what a request takes at an endpoint without running there, such as a copy of its
-// memory.
-func (p *Placement) Place(id string, w routing.Placed) {
+// Place records what a request occupies at an endpoint without running there, such as the memory of
+// a copy.
+func (p *Placement) Place(id string, placed routing.Placed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Place(id, w)
+	p.view.Place(id, placed)
 }
 
-// Release gives back what [Placement.Place] or [Placement.Sent] recorded, or a part of it.
-func (p *Placement) Release(id string, w routing.Placed) {
+// Release releases all or part of what [Placement.Place] or [Placement.Sent] recorded.
+func (p *Placement) Release(id string, placed routing.Placed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Release(id, w)
+	p.view.Release(id, placed)
 }
 
-// Report takes an endpoint's own word on its load.
-func (p *Placement) Report(id string, running, waiting int) {
+// RecordLoad records the load that an endpoint reports: its running and its waiting requests.
+func (p *Placement) RecordLoad(id string, running, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Report(time.Now(), id, routing.Load{Running: running, Queued: waiting})
 }
 
-// Failed records that an endpoint failed a request.
+// Failed records that an endpoint failed a request. The endpoint is avoided for a while.
 func (p *Placement) Failed(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +128,7 @@
 	p.view.Refused(time.Now(), id)
 }
 
-// Lost records that an endpoint lost an answer.
+// Lost records that an endpoint lost an answer. A second loss in a row counts as a failure.
 func (p *Placement) Lost(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,81 +142,87 @@
 	p.view.Succeeded(id)
 }
 
-// Outcome records how a request ended at an endpoint: answered, or failed or lost with its answer.
-func (p *Placement) Outcome(id string, good bool) {
+// RecordOutcome records whether a request succeeded at an endpoint. An error answer and a lost
+// answer both count as failures.
+func (p *Placement) RecordOutcome(id string, succeeded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if good {
+	if succeeded {
 		p.view.Good(time.Now(), id)
 	} else {
 		p.view.Bad(time.Now(), id)
 	}
 }
 
-// Read records how long an engine took to read prompt tokens.
-func (p *Placement) Read(id string, tokens int, took time.Duration) {
+// RecordPrefill records how long an engine took to prefill some tokens.
+func (p *Placement) RecordPrefill(id string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Read(time.Now(), id, tokens, took)
 }
 
-// Reading records for how long an engine has been reading prompt tokens.
-func (p *Placement) Reading(id string, tokens int, passed time.Duration) {
+// RecordPrefillProgress records that an engine has not finished prefilling some tokens after the
+// elapsed time.
+func (p *Placement) RecordPrefillProgress(id string, tokens int, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.Reading(time.Now(), id, tokens, passed)
+	p.view.Reading(time.Now(), id, tokens, elapsed)
 }
 
-// Unread returns how many prompt tokens are believed to be read at an engine before those of a new request.
-func (p *Placement) Unread(id string) int {
+// UnreadTokens returns the estimated number of prompt tokens that an engine has to prefill before
+// those of a new request.
+func (p *Placement) UnreadTokens(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Unread(time.Now(), id)
 }
 
-// At returns what is believed to be placed at an endpoint, by all instances.
-func (p *Placement) At(id string) routing.Placed {
+// PlacedAt returns what all instances together are believed to have placed at an endpoint.
+func (p *Placement) PlacedAt(id string) routing.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.At(time.Now(), id)
 }
 
-// Expected returns how long the engines of a service usually take to read some prompt tokens; false where that is not known.
-func (p *Placement) Expected(service string, tokens int) (time.Duration, bool) {
+// ExpectedPrefillTime returns how long the engines of a service usually take to prefill some
+// tokens; false when that is unknown.
+func (p *Placement) ExpectedPrefillTime(service string, tokens int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Expected(service, tokens)
 }
 
-// Forget drops what was learned of an endpoint that started again and is not listed anew yet.
+// Forget drops what was learned about an endpoint that restarted and is not listed again yet.
 func (p *Placement) Forget(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Forget(id)
 }
 
-// Ended records that this incarnation of an endpoint is gone: its address answered for another one.
+// Ended records that this incarnation of an endpoint is gone, because its address answered for
+// another one.
 func (p *Placement) Ended(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Ended(time.Now(), id)
 }
 
-// Stored records that an endpoint has read a prompt.
-func (p *Placement) Stored(id string, prompt uint64) {
+// RecordCachedPrompt records that an endpoint has prefilled a prompt.
+func (p *Placement) RecordCachedPrompt(id string, prompt uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.CacheStored(time.Now(), id, prompt)
 }
 
-// Holds tells whether any endpoint is believed to have read a prompt.
-func (p *Placement) Holds(prompt uint64) bool {
+// HoldsPrompt reports whether any endpoint is believed to hold a prompt in its cache.
+func (p *Placement) HoldsPrompt(prompt uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Holds(time.Now(), prompt)
 }
 
-// Told returns what other instances are told: what this one has placed, and what it found out about endpoints.
+// Told returns what is announced to the other instances: what this instance has placed, and what it
+// learned about endpoints.
 func (p *Placement) Told() routing.Told {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,59 +233,63 @@
 	}
 }
 
-// SetPeer takes what another instance told; the zero value forgets the instance.
-func (p *Placement) SetPeer(peer string, t routing.Told) {
+// SetPeer records what another instance announced, and replaces what it announced before. The zero
+// value removes the instance.
+func (p *Placement) SetPeer(peer string, told routing.Told) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.SetPeer(time.Now(), peer, t)
+	p.view.SetPeer(time.Now(), peer, told)
 }
 
-// SetOwned says of which endpoints this instance hears all that others place there.
+// SetOwned sets the endpoints that this instance owns: it receives what all other instances place
+// there.
 func (p *Placement) SetOwned(owned func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.SetOwned(owned)
 }
 
-// Claim grants or refuses a claim at an engine, of another instance or with an empty name of this one; known is false for an engine
-// that is not listed here.
+// Claim grants or refuses a claim at an engine. peer is the claiming instance; empty for this one.
+// known is false for an engine that is not listed here.
 func (p *Placement) Claim(id, peer string, c routing.Claim) (granted, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Claim(time.Now(), id, peer, c)
 }
 
-// Summary returns what this instance knows of an endpoint that it owns, for another instance that asks.
-func (p *Placement) Summary(id, asking string, prompt uint64) (routing.Summary, bool) {
+// Summary returns what this instance knows about an endpoint that it owns, leaving out what
+// askingPeer has placed there; false for an endpoint that is not listed.
+func (p *Placement) Summary(id, askingPeer string, prompt uint64) (routing.Summary, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Summary(time.Now(), id, asking, prompt)
+	return p.view.Summary(time.Now(), id, askingPeer, prompt)
 }
 
-// Learn takes an owner's summary of an endpoint.
-func (p *Placement) Learn(s *routing.Summary, prompt uint64) {
+// ApplySummary records the summary of an endpoint by its owner. prompt is the one that was asked
+// about.
+func (p *Placement) ApplySummary(s *routing.Summary, prompt uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Learn(time.Now(), s, prompt)
 }
 
-// Usable tells whether an endpoint is listed, does not leave, and is suspected neither by this instance nor
-// by several others.
+// Usable reports whether an endpoint is listed, is not leaving, and is suspected neither by this
+// instance nor by several others.
 func (p *Placement) Usable(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Usable(time.Now(), id)
 }
 
-// Nearby returns how many endpoints there are in the data centre of an endpoint, and how many of them failed last within a
-// time.
-func (p *Placement) Nearby(id string, from, to time.Time) (failed, all int) {
+// DataCentreFailures returns the number of endpoints in the data centre of an endpoint, and how
+// many of them failed last between from and to.
+func (p *Placement) DataCentreFailures(id string, from, to time.Time) (failed, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Nearby(id, from, to)
 }
 
-// List returns all endpoints with what is believed of them.
+// List returns all endpoints with what is known about them.
 func (p *Placement) List() []routing.Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
