--- a/gateway/forward/accept.go
+++ b/gateway/forward/accept.go
@@ -18,50 +18,50 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// request is a caller's request on its way through the filters.
+// request is a caller's request and what has been decided about it so far.
 type request struct {
 	platform.Call
-	http     *http.Request
-	arrived  time.Time
-	deadline time.Time // zero when neither caller nor route sets one
-	table    *route.Table
-	route    *route.Route
-	team     *route.Team // nil for public routes
-	service  string
-	rank     int
-	draw     float64 // of the share that goes to a build on trial
-	// engine is the one that was claimed while the request waited, at claimedAt; nil for none.
-	engine    *routing.Decision
-	claimedAt time.Time
-	asks      int       // how often the owners of engines were asked, about others each time
-	askedAt   time.Time // when the owners of engines were asked last
-	identity  crashers.Request
-	losses    crashes.Losses
-
-	body       []byte
-	rest       io.Reader // what of the body is not in memory; nil when all is
-	length     int64     // of the body; -1 when it came in chunks
-	replayable bool      // the whole body is in memory
+	httpRequest *http.Request
+	arrivedAt   time.Time
+	deadline    time.Time // zero when neither caller nor route sets one
+	table       *route.Table
+	route       *route.Route
+	team        *route.Team // nil for public routes
+	service     string
+	priority    int
+	rolloutDraw float64 // compared with the share of requests that goes to a build under rollout
+	// claimed is the engine that was claimed at claimedAt while the request waited; nil for none.
+	claimed         *routing.Decision
+	claimedAt       time.Time
+	ownerQueries    int       // consecutive owner queries; each covers the next group of engines
+	ownersQueriedAt time.Time // time of the last owner query
+	identity        crashers.Request
+	losses          crashes.Losses
+
+	body          []byte
+	unbuffered    io.Reader // remainder of the body that is not in memory; nil when all of it is
+	contentLength int64     // of the body in bytes; -1 for a chunked body
+	replayable    bool      // the whole body is in memory
 }
 
-// startPatience is how long after its start an instance lets callers wait for its first look at the store, which takes
-// 15 ms from a store that answers, and 200 ms where 90 instances start at once. Callers whose instances were all killed
-// come back in that moment, and many of them come back only once.
-const startPatience = 500 * time.Millisecond
+// maxSyncWait is how long after its start an instance lets callers wait for its first read of the
+// store. That read takes 15 ms when the store responds, and 200 ms when 90 instances start at once.
+// Callers whose instances were all killed reconnect in this time, and many of them retry only once.
+const maxSyncWait = 500 * time.Millisecond
 
-// awaitKnown waits for the first look at the store, unless that takes long.
-func (f *Forwarder) awaitKnown(ctx context.Context) {
-	left := startPatience - time.Since(f.began)
-	if left <= 0 || f.Settings.Without.FirstLook {
+// awaitSync waits until the first read of the store is done, or until maxSyncWait after the start.
+func (f *Forwarder) awaitSync(ctx context.Context) {
+	left := maxSyncWait - time.Since(f.startedAt)
+	if left <= 0 || f.Settings.Disabled.FirstLook {
 		return
 	}
-	pause.Until(ctx, left, f.Known)
+	pause.Until(ctx, left, f.Synced)
 }
 
-// accept finds out where a request may go. The configuration has to be known, and for a request with a
-// key it has to be known that it was in force a short while ago.
-func (f *Forwarder) accept(r *http.Request, arrived time.Time) (*request, *refusal) {
-	req := &request{Call: platform.ReadCall(r.Header), http: r, arrived: arrived, draw: point()}
+// accept resolves the route, team and deadline of a request. The configuration has to be known, and
+// for a request with a key it must have been confirmed recently.
+func (f *Forwarder) accept(r *http.Request, arrivedAt time.Time) (*request, *refusal) {
+	req := &request{Call: platform.ReadCall(r.Header), httpRequest: r, arrivedAt: arrivedAt, rolloutDraw: randomFraction()}
 	if refused := f.resolve(req); refused != nil {
 		return req, refused
 	}
@@ -73,10 +73,10 @@
 func (f *Forwarder) resolve(req *request) *refusal {
 	table, age := f.Configuration.Table()
 	if table == nil {
-		return refuse(http.StatusServiceUnavailable, "no configuration yet", soon())
+		return refuse(http.StatusServiceUnavailable, "no configuration yet", retrySoon())
 	}
 	inputs := logrus.Fields{"configuration": table.Version(), "age_ms": age.Milliseconds()}
-	matched, ok := table.Match(req.http.Host, req.http.URL.Path)
+	matched, ok := table.Match(req.httpRequest.Host, req.httpRequest.URL.Path)
 	if !ok {
 		return f.deny(http.StatusNotFound, "no route", age, inputs)
 	}
@@ -85,19 +85,19 @@
 		if team, ok = table.Team(req.Key); !ok {
 			return f.deny(http.StatusUnauthorized, "unknown key", age, inputs)
 		}
-		if age >= f.Settings.KeyBound {
-			return refuse(http.StatusServiceUnavailable, "configuration too old for keys", whenStoreIsBack()).with(inputs)
+		if age >= f.Settings.MaxConfigAgeForKeys {
+			return refuse(http.StatusServiceUnavailable, "configuration too old for keys", retryWhenStoreIsBack()).with(inputs)
 		}
 	}
-	if req.route == nil || !leadsTo(matched, req.service) {
-		req.service = matched.ChooseService(point())
+	if req.route == nil || !hasTarget(matched, req.service) {
+		req.service = matched.ChooseService(randomFraction())
 	}
-	req.table, req.route, req.team, req.rank = table, matched, team, matched.PriorityFor(team)
+	req.table, req.route, req.team, req.priority = table, matched, team, matched.PriorityFor(team)
 	return nil
 }
 
-// leadsTo tells whether a service is among a route's targets.
-func leadsTo(r *route.Route, service string) bool {
+// hasTarget reports whether a route sends requests to a service.
+func hasTarget(r *route.Route, service string) bool {
 	for _, t := range r.Targets {
 		if t.Service == service && t.Weight > 0 {
 			return true
@@ -106,40 +106,41 @@
 	return false
 }
 
-// deny refuses a request for good, or for now when the configuration may have changed meanwhile.
-func (f *Forwarder) deny(status int, why string, age time.Duration, inputs logrus.Fields) *refusal {
-	if age >= f.Settings.DenyBound {
-		return refuse(http.StatusServiceUnavailable, why+" in a configuration that may be old", whenStoreIsBack()).with(inputs)
+// deny refuses a request permanently, or temporarily when the configuration may be out of date.
+func (f *Forwarder) deny(status int, reason string, age time.Duration, inputs logrus.Fields) *refusal {
+	if age >= f.Settings.MaxConfigAgeForDenial {
+		return refuse(http.StatusServiceUnavailable, reason+" in a configuration that may be old", retryWhenStoreIsBack()).with(inputs)
 	}
-	return refuse(status, why, 0).with(inputs)
+	return refuse(status, reason, 0).with(inputs)
 }
 
-// stillAllowed applies the configuration again right before a request is sent, in case it changed or
-// grew old while the request waited.
-func (f *Forwarder) stillAllowed(req *request) *refusal {
+// revalidate applies the configuration again right before a request is sent, in case it changed or
+// became too old while the request waited.
+func (f *Forwarder) revalidate(req *request) *refusal {
 	table, age := f.Configuration.Table()
-	if table == req.table && (req.team == nil || age < f.Settings.KeyBound) {
+	if table == req.table && (req.team == nil || age < f.Settings.MaxConfigAgeForKeys) {
 		return nil
 	}
 	return f.resolve(req)
 }
 
 func (req *request) setDeadline() {
-	wait := req.Wait
-	if t := req.route.Timeout; t > 0 && (wait == 0 || t < wait) {
-		wait = t
+	timeout := req.Wait
+	if t := req.route.Timeout; t > 0 && (timeout == 0 || t < timeout) {
+		timeout = t
 	}
-	if wait > 0 {
-		req.deadline = req.arrived.Add(wait)
+	if timeout > 0 {
+		req.deadline = req.arrivedAt.Add(timeout)
 	}
 }
 
-// left returns the time that the caller still waits; 0 when it did not say.
-func (req *request) left(now time.Time) time.Duration {
+// timeLeft returns how much longer the caller waits, at least 1 ms; 0 when the caller gave no
+// limit.
+func (req *request) timeLeft(now time.Time) time.Duration {
 	if req.Wait == 0 {
 		return 0
 	}
-	return max(req.Wait-now.Sub(req.arrived), time.Millisecond)
+	return max(req.Wait-now.Sub(req.arrivedAt), time.Millisecond)
 }
 
 // teamName returns the name of the request's team; empty for public routes.
@@ -150,8 +151,9 @@
 	return req.team.Name
 }
 
-// promptKey names the prompt by its last part, which is the request's own: who asks again for the same,
-// such as a caller whose connection was lost, brings the same one. 0 when there is none.
+// promptKey identifies the prompt by its last part, which is specific to the request. A caller that
+// sends the same prompt again, for example after its connection was lost, gets the same key. It
+// returns 0 when there is no prompt.
 func (req *request) promptKey() uint64 {
 	if len(req.Parts) == 0 {
 		return 0
@@ -159,42 +161,42 @@
 	return req.Parts[len(req.Parts)-1].ID
 }
 
-// bodyKept is how much of a body is kept in memory, so that it can be sent again. Larger ones are
-// passed on as they come, once: an instance with a thousand requests at work holds 256 MB at the most
-// only if all are that large; usual bodies have 8 kB.
-const bodyKept = 256 << 10
+// maxBufferedBody is the number of body bytes kept in memory for retries. Larger bodies are
+// streamed and sent only once. A thousand concurrent requests use 256 MB only if all bodies are
+// that large; usual bodies have 8 kB.
+const maxBufferedBody = 256 << 10
 
-// readBody reads the body as far as it is kept.
+// readBody reads up to maxBufferedBody bytes of the body into memory.
 func (req *request) readBody(w http.ResponseWriter, r *http.Request) *refusal {
-	req.length = r.ContentLength
+	req.contentLength = r.ContentLength
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
-		req.replayable, req.length = true, 0
+		req.replayable, req.contentLength = true, 0
 		return nil
 	}
 	body := io.Reader(r.Body)
-	if most := req.table.Limits().BodyBytes; most > 0 {
-		if r.ContentLength > int64(most) {
+	if maxBytes := req.table.Limits().BodyBytes; maxBytes > 0 {
+		if r.ContentLength > int64(maxBytes) {
 			return refuse(http.StatusRequestEntityTooLarge, "body too large", 0)
 		}
-		body = http.MaxBytesReader(w, r.Body, int64(most))
+		body = http.MaxBytesReader(w, r.Body, int64(maxBytes))
 	}
 	if !req.deadline.IsZero() {
 		_ = http.NewResponseController(w).SetReadDeadline(req.deadline)
 	}
-	kept, err := io.ReadAll(io.LimitReader(body, bodyKept))
-	req.body = kept
+	buffered, err := io.ReadAll(io.LimitReader(body, maxBufferedBody))
+	req.body = buffered
 	if err != nil {
-		return bodyRefusal(err)
+		return refuseBody(err)
 	}
-	if len(kept) < bodyKept {
+	if len(buffered) < maxBufferedBody {
 		req.replayable = true
 		return nil
 	}
-	req.rest = body
+	req.unbuffered = body
 	return nil
 }
 
-func bodyRefusal(err error) *refusal {
+func refuseBody(err error) *refusal {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return refuse(http.StatusRequestEntityTooLarge, "body too large", 0)
@@ -202,12 +204,12 @@
 	return refuse(http.StatusRequestTimeout, "the body did not arrive", 0)
 }
 
-// bodyReader returns the body from its beginning; nil when there is none.
+// bodyReader returns a reader of the body from its beginning; nil when there is none.
 func (req *request) bodyReader() io.Reader {
 	switch {
-	case req.rest != nil:
-		return io.MultiReader(bytes.NewReader(req.body), req.rest)
-	case len(req.body) == 0 && req.length == 0:
+	case req.unbuffered != nil:
+		return io.MultiReader(bytes.NewReader(req.body), req.unbuffered)
+	case len(req.body) == 0 && req.contentLength == 0:
 		return nil
 	}
 	return bytes.NewReader(req.body)
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -21,46 +21,47 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// messagesAhead is how many events an attempt may be ahead of the caller: enough to cover a wake-up,
-// few enough that a caller who does not read costs 16 events of memory.
-const messagesAhead = 16
+// messageBuffer is how many messages an attempt may be ahead of its session. 16 cover a goroutine
+// wake-up, and a caller that does not read costs at most 16 events of memory.
+const messageBuffer = 16
 
-// messageKind says what an attempt reports.
+// messageKind is the kind of a message to a session.
 type messageKind int
 
 const (
-	attemptSent    messageKind = iota // it is connected and being sent
-	attemptEvent                      // an event came
+	attemptSent    messageKind = iota // connected, and the request is being sent
+	attemptEvent                      // an event arrived
 	attemptDone                       // the answer ended properly
-	attemptFailed                     // it ended otherwise
-	attemptProbed                     // its engine was asked whether it is alive
-	attemptCopied                     // its engine was asked for a copy of its memory
-	sessionStopped                    // its request ends the engines that run it
+	attemptFailed                     // the attempt ended in any other way
+	attemptProbed                     // a probe of the engine ended
+	attemptCopied                     // a copy requested from the engine ended
+	requestStopped                    // the request was stopped because it crashes engines
 )
 
-// message is what an attempt reports to its session.
+// message is a report from an attempt to its session.
 type message struct {
 	kind     messageKind
 	attempt  int
 	endpoint string
-	// block and id are an event, where one came; numbered tells whether it has an id.
-	block    []byte
-	id       uint64
-	numbered bool
-	// failure and err say how the attempt failed; answer is the engine's own word on it, if any.
+	// raw and id are the event of an attemptEvent; hasID reports whether the event has a numeric
+	// id.
+	raw   []byte
+	id    uint64
+	hasID bool
+	// failure and err say how the attempt failed. answer is the engine's own error answer, if any.
 	failure generation.Failure
 	err     error
 	answer  *answer
-	// alive and events are an engine's answer to a probe.
+	// alive and events are the result of a probe.
 	alive  bool
 	events int
-	// holder is the copy that was made; zero when none was.
+	// holder is the copy that was made; zero when the copy failed.
 	holder copies.Holder
-	// headAt is when the answer of an attempt that failed began; zero when it did not.
+	// headAt is when the answer of a failed attempt began; zero when it did not begin.
 	headAt time.Time
 }
 
-// attempt is one engine's stream for a session. It runs in a goroutine of its own.
+// attempt is the stream of one engine for a session. It runs in its own goroutine.
 type attempt struct {
 	session  *session
 	number   int
@@ -69,97 +70,102 @@
 	header   http.Header // of the engine's answer; set before the first event is reported
 	cancel   context.CancelFunc
 
-	// repeat tells that the request was sent before.
-	repeat bool
-	// from is the copy of the run's memory from which it goes on; zero when the prompt has to be read.
-	from copies.Holder
-	// sent tells that it was sent, began that an event of it came, over that it reported its end, and
-	// refused that its engine has not run it. They belong to the session's goroutine.
-	sent, began, over, refused bool
-	events                     int // that came
+	// isRetry is set when the request was sent before.
+	isRetry bool
+	// resumeFrom is the copy of the run's memory to resume from; zero when the prompt has to be
+	// prefilled.
+	resumeFrom copies.Holder
+	// sent is set when the request was sent, hasEvent when an event arrived, ended when the attempt
+	// reported its end, and refused when the engine has not run the request. They belong to the
+	// session's goroutine.
+	sent, hasEvent, ended, refused bool
+	eventCount                     int // received so far
 
-	placed routing.Placed
-	once   sync.Once // the prompt was read
-	// reading is how many prompt tokens the engine has to read until the first event, those ahead of the own ones
-	// included; 0 where that is not known, and began when it was sent.
-	reading int
-	sentAt  time.Time
-	// silent is set when it was given up since nothing came.
-	silent atomic.Bool
-	// trial counts the attempt where its service moves to another build; nil elsewhere. firstAt is when its first event came.
-	trial   *rollouts.Trial
-	firstAt time.Time
-	// loss is what it would be if its engine were lost now. Once it is launched it belongs to the goroutine of the attempt.
-	loss crashes.Loss
+	placed      routing.Placed
+	prefillOnce sync.Once // runs when the prompt was prefilled, or at the end of the attempt
+	// prefillTokens is how many prompt tokens the engine has to prefill before the first event,
+	// including the tokens queued ahead of this prompt; 0 when unknown.
+	prefillTokens int
+	sentAt        time.Time
+	// gaveUpOnSilence is set when the session gave up the attempt because the engine went silent.
+	gaveUpOnSilence atomic.Bool
+	// rolloutTrial counts the attempt when its service moves to another build; nil otherwise.
+	// firstEventAt is the arrival time of its first event.
+	rolloutTrial *rollouts.Trial
+	firstEventAt time.Time
+	// potentialLoss describes the loss to report if the engine were lost now. After the launch it
+	// belongs to the attempt's goroutine.
+	potentialLoss crashes.Loss
 }
 
-// launch sends the request to an engine. from is a copy of the run's memory there; the zero holder
-// when the prompt has to be read. cached tells that the engine may have read a part of it already.
-func (s *session) launch(number int, e *routing.Endpoint, from copies.Holder, cached bool) {
+// launch starts an attempt at an engine. resumeFrom is the copy of the run's memory there; zero
+// when the prompt has to be prefilled. mayBeCached is set when the engine may already have
+// prefilled part of the prompt.
+func (s *session) launch(number int, e *routing.Endpoint, resumeFrom copies.Holder, mayBeCached bool) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	a := &attempt{session: s, number: number, endpoint: *e, cancel: cancel, repeat: s.sent(), from: from, placed: routing.Placed{Tokens: s.tokens()}}
-	if !a.recovery() {
+	a := &attempt{session: s, number: number, endpoint: *e, cancel: cancel, isRetry: s.wasSent(), resumeFrom: resumeFrom, placed: routing.Placed{Tokens: s.peakTokens()}}
+	if !a.resumesFromCopy() {
 		a.placed.Unread = s.req.PromptTokens
 	}
-	if a.placed.Unread > 0 && !cached {
-		a.reading = a.placed.Unread + s.f.Placement.UnreadTokens(e.ID)
+	if a.placed.Unread > 0 && !mayBeCached {
+		a.prefillTokens = a.placed.Unread + s.f.Placement.UnreadTokens(e.ID)
 	}
 	a.sentAt = time.Now()
-	a.loss = s.req.loss(e)
-	a.loss.Served, a.loss.Urgent = s.served, s.relayed > 0
+	a.potentialLoss = s.req.loss(e)
+	a.potentialLoss.Served, a.potentialLoss.Urgent = s.reportedProgress, s.relayedEvents > 0
 	a.send = platform.Send{
-		Endpoint: e.CalledBy(), Left: s.req.left(time.Now()), Team: s.req.teamName(), Rank: s.req.rank,
-		LastEvent: s.lastEvent, CopyFrom: from.Address, CopyName: from.Handle, CopyTo: s.placeCopy(e),
+		Endpoint: e.CalledBy(), Left: s.req.timeLeft(time.Now()), Team: s.req.teamName(), Rank: s.req.priority,
+		LastEvent: s.lastEventID, CopyFrom: resumeFrom.Address, CopyName: resumeFrom.Handle, CopyTo: s.placeCopy(e),
 	}
-	a.trial = s.f.Rollouts.Begin(s.req.route.Name, e)
+	a.rolloutTrial = s.f.Rollouts.Begin(s.req.route.Name, e)
 	s.attempts[number] = a
 	s.f.Placement.Sent(e.ID, a.placed)
-	s.f.firstStream.Do(func() { s.f.metrics.startPlaced.RecordDuration(time.Since(s.f.began)) })
-	s.f.Others.Changed(e.ID, s.copyAt)
+	s.f.firstStreamOnce.Do(func() { s.f.metrics.startToFirstStream.RecordDuration(time.Since(s.f.startedAt)) })
+	s.f.Peers.Changed(e.ID, s.copyEngineID)
 	s.logPlaced(a)
 	go a.run(ctx)
 }
 
-// recovery tells that the attempt goes on from a copy of the run's memory.
-func (a *attempt) recovery() bool { return a.from != copies.Holder{} }
+// resumesFromCopy reports whether the attempt resumes from a copy of the run's memory.
+func (a *attempt) resumesFromCopy() bool { return a.resumeFrom != copies.Holder{} }
 
-// read records that the engine has read the prompt: it made an event.
-func (a *attempt) read() {
-	a.began = true
-	a.once.Do(func() {
+// recordPrefilled records at the first event that the engine has prefilled the prompt.
+func (a *attempt) recordPrefilled() {
+	a.hasEvent = true
+	a.prefillOnce.Do(func() {
 		f, id := a.session.f, a.endpoint.ID
-		a.trial.Answered(a.readTime(time.Now()))
+		a.rolloutTrial.Answered(a.prefillTimePerUnit(time.Now()))
 		f.Placement.Release(id, routing.Placed{Unread: a.placed.Unread})
 		f.Placement.RecordCachedPrompt(id, a.session.req.promptKey())
 		f.Placement.Succeeded(id)
-		if a.reading > 0 {
+		if a.prefillTokens > 0 {
 			took := time.Since(a.sentAt)
-			f.Placement.RecordPrefill(id, a.reading, took)
-			f.streamTimes.change(a.session.req.service, func(t *limits.StreamTimes) { t.ObserveRead(a.reading, took) })
+			f.Placement.RecordPrefill(id, a.prefillTokens, took)
+			f.streamTimes.update(a.session.req.service, func(t *limits.StreamTimes) { t.ObserveRead(a.prefillTokens, took) })
 		}
-		f.reads.add(a.session.req.promptKey(), id)
-		f.Others.Freed(id)
+		f.promptLocations.add(a.session.req.promptKey(), id)
+		f.Peers.Freed(id)
 	})
 }
 
 func (a *attempt) run(ctx context.Context) {
 	f := a.session.f
 	defer func() {
-		a.once.Do(func() { f.Placement.Release(a.endpoint.ID, routing.Placed{Unread: a.placed.Unread}) })
+		a.prefillOnce.Do(func() { f.Placement.Release(a.endpoint.ID, routing.Placed{Unread: a.placed.Unread}) })
 		f.Placement.Finished(a.endpoint.ID, routing.Placed{Tokens: a.placed.Tokens})
-		f.Others.Freed(a.endpoint.ID)
+		f.Peers.Freed(a.endpoint.ID)
 	}()
-	hop, span := f.hop(ctx, &a.endpoint)
+	hop, span := f.startHop(ctx, &a.endpoint)
 	m := a.exchange(hop)
 	endHop(span, m.err)
 	if m.kind == attemptFailed && m.failure == generation.Broken {
 		pause.For(ctx, f.Rollouts.ResumeWait(&a.endpoint))
 	}
-	a.tell(ctx, m)
+	a.report(ctx, m)
 }
 
-// tell reports to the session, unless the attempt was given up.
-func (a *attempt) tell(ctx context.Context, m message) {
+// report sends a message to the session, unless the attempt was cancelled.
+func (a *attempt) report(ctx context.Context, m message) {
 	m.attempt, m.endpoint = a.number, a.endpoint.ID
 	select {
 	case a.session.messages <- m:
@@ -167,75 +173,76 @@
 	}
 }
 
-// exchange sends the request and reports the events; it returns how the attempt ended.
+// exchange sends the request and reports the events. It returns how the attempt ended.
 func (a *attempt) exchange(ctx context.Context) message {
 	s := a.session
-	if a.repeat && !s.f.hasRoom(s.req.service, a.recovery()) { // a connection would be made in vain
-		return a.noRoom()
+	if a.isRetry && !s.f.hasRetryBudget(s.req.service, a.resumesFromCopy()) { // avoid a useless connection
+		return a.failWithoutBudget()
 	}
 	conn, err := s.f.connect(ctx, s.req, &a.endpoint)
 	if err != nil {
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
-	if a.repeat && !s.f.mayRepeat(s.req.service, a.recovery()) {
+	if a.isRetry && !s.f.takeRetry(s.req.service, a.resumesFromCopy()) {
 		conn.Keep()
-		return a.noRoom()
+		return a.failWithoutBudget()
 	}
-	a.loss.SentAt, a.loss.Reused = time.Now(), conn.Reused()
-	a.tell(ctx, message{kind: attemptSent})
-	x, err := conn.Do(ctx, s.req.outgoing(&a.send), s.req.mine)
+	a.potentialLoss.SentAt, a.potentialLoss.Reused = time.Now(), conn.Reused()
+	a.report(ctx, message{kind: attemptSent})
+	x, err := conn.Do(ctx, s.req.upstreamRequest(&a.send), s.req.ownsAnswer)
 	if err != nil {
-		return a.lost(ctx, err)
+		return a.classifyLoss(ctx, err)
 	}
 	defer x.Abort() // no effect after Finish
-	told := platform.ReadAnswer(x.Status(), x.Header())
-	s.f.learn(a.endpoint.ID, &told)
+	signals := platform.ReadAnswer(x.Status(), x.Header())
+	s.f.recordLoad(a.endpoint.ID, &signals)
 	switch {
-	case told.NotRun:
-		return message{kind: attemptFailed, failure: generation.Refused, err: s.f.refusedBy(&a.endpoint, x.Status())}
+	case signals.NotRun:
+		return message{kind: attemptFailed, failure: generation.Refused, err: s.f.recordRefusal(&a.endpoint, x.Status())}
 	case x.Status() != http.StatusOK:
-		return a.engineFailed(x)
-	case !told.Signed:
+		return a.readEngineFailure(x)
+	case !signals.Signed:
 		return message{kind: attemptFailed, failure: generation.Broken, err: errUnsigned}
 	}
 	a.header = platform.ToClient(x.Header())
-	a.loss.HeadAt = time.Now()
-	m := a.relay(ctx, x)
-	m.headAt = a.loss.HeadAt
+	a.potentialLoss.HeadAt = time.Now()
+	m := a.relayEvents(ctx, x)
+	m.headAt = a.potentialLoss.HeadAt
 	return m
 }
 
-// noRoom ends an attempt that was not sent, since too much was sent once more lately.
-func (a *attempt) noRoom() message {
+// failWithoutBudget ends an attempt that was not sent because the retry budget is exhausted.
+func (a *attempt) failWithoutBudget() message {
 	return message{kind: attemptFailed, failure: generation.NoEndpoint, err: ErrBudget.New("too much was sent once more lately")}
 }
 
-// lost classifies an attempt whose answer did not come.
-func (a *attempt) lost(ctx context.Context, err error) message {
+// classifyLoss classifies an attempt whose answer did not arrive or broke off.
+func (a *attempt) classifyLoss(ctx context.Context, err error) message {
 	if errorx.IsOfType(err, upstream.ErrNotSent) {
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
-	if a.silent.Load() {
-		a.session.f.judge.BlameSilence(a.loss)
+	if a.gaveUpOnSilence.Load() {
+		a.session.f.judge.BlameSilence(a.potentialLoss)
 	}
 	if ctx.Err() == nil {
-		a.countLost()
-		a.session.f.judge.Blame(ctx, &a.session.req.losses, a.loss)
+		a.recordLoss()
+		a.session.f.judge.Blame(ctx, &a.session.req.losses, a.potentialLoss)
 	}
 	return message{kind: attemptFailed, failure: generation.Broken, err: err}
 }
 
-// countLost counts an answer that the engine did not give, or did not end.
-func (a *attempt) countLost() {
+// recordLoss records that the engine lost an answer.
+func (a *attempt) recordLoss() {
 	p, id := a.session.f.Placement, a.endpoint.ID
 	p.Failed(id)
 	p.RecordOutcome(id, false)
-	a.trial.Lost()
+	a.rolloutTrial.Lost()
 }
 
-// engineFailed takes an engine's own failure. What it says of the request itself is final.
-func (a *attempt) engineFailed(x *upstream.Exchange) message {
-	body, err := io.ReadAll(io.LimitReader(x, answerKept))
+// readEngineFailure reads an engine's own error answer. A status below 500 is about the request
+// itself, so it is final.
+func (a *attempt) readEngineFailure(x *upstream.Exchange) message {
+	body, err := io.ReadAll(io.LimitReader(x, maxBufferedAnswer))
 	if err != nil {
 		return message{kind: attemptFailed, failure: generation.Broken, err: err}
 	}
@@ -246,13 +253,13 @@
 	}
 	a.session.f.Placement.RecordOutcome(a.endpoint.ID, m.failure == generation.Invalid)
 	if m.failure != generation.Invalid {
-		a.trial.Failed()
+		a.rolloutTrial.Failed()
 	}
 	return m
 }
 
-// relay reports events until the answer ends.
-func (a *attempt) relay(ctx context.Context, x *upstream.Exchange) message {
+// relayEvents reports events until the answer ends.
+func (a *attempt) relayEvents(ctx context.Context, x *upstream.Exchange) message {
 	events := newEventReader(x)
 	for {
 		e, err := events.next()
@@ -263,11 +270,11 @@
 			return message{kind: attemptDone}
 		}
 		if err != nil {
-			return a.lost(ctx, err)
+			return a.classifyLoss(ctx, err)
 		}
-		if a.loss.EventAt.IsZero() {
-			a.loss.EventAt = time.Now()
+		if a.potentialLoss.EventAt.IsZero() {
+			a.potentialLoss.EventAt = time.Now()
 		}
-		a.tell(ctx, message{kind: attemptEvent, block: e.block, id: e.id, numbered: e.numbered})
+		a.report(ctx, message{kind: attemptEvent, raw: e.raw, id: e.id, hasID: e.hasID})
 	}
 }
--- a/gateway/forward/budget.go
+++ b/gateway/forward/budget.go
@@ -8,110 +8,113 @@
 	"github.com/agateway/agateway/gateway/clock"
 )
 
-// budgets bound what is sent once more, for each service. All instances share the bound and tell each
-// other what they counted. Safe for concurrent use.
-type budgets struct {
-	set     limits.WindowSettings
-	now     clock.Now
-	mu      sync.Mutex
-	windows map[string]*limits.Window
+// retryBudgets bounds the retries of each service. All instances share the bound and exchange their
+// counts. It is safe for concurrent use.
+type retryBudgets struct {
+	settings limits.WindowSettings
+	now      clock.Now
+	mu       sync.Mutex
+	windows  map[string]*limits.Window
 }
 
 const (
-	// margin keeps below the bound: what others count is heard up to a second late, and their windows do not begin
-	// together. With 87 instances and 366 repetitions allowed, 90 may be sent before all others have heard of them.
-	margin = 0.75
-	// kept is for streams that go on from a copy of their memory: they are on time, where one that has to read its
-	// prompt again is late in any case.
-	kept = 0.15
+	// retryBudgetMargin is the part of the bound that is used. Counts of other instances arrive up
+	// to a second late, and their windows are not aligned. With 87 instances and 366 retries
+	// allowed, 90 may be sent before all other instances have learned of them.
+	retryBudgetMargin = 0.75
+	// recoveryRetryShare is the part of the bound reserved for streams that resume from a copy of
+	// their memory. Those can be on time, whereas a stream that has to prefill its prompt again is
+	// late in any case.
+	recoveryRetryShare = 0.15
 )
 
-func newBudgets(s *Settings, now clock.Now) *budgets {
-	set := limits.WindowSettings{Share: s.RetryShare, Reserve: s.RetryReserve, Length: s.RetryWindow, Margin: margin, Kept: kept}
-	return &budgets{set: set, now: now, windows: map[string]*limits.Window{}}
+func newRetryBudgets(s *Settings, now clock.Now) *retryBudgets {
+	settings := limits.WindowSettings{Share: s.RetryShare, Reserve: s.RetryReserve, Length: s.RetryWindow, Margin: retryBudgetMargin, Kept: recoveryRetryShare}
+	return &retryBudgets{settings: settings, now: now, windows: map[string]*limits.Window{}}
 }
 
-func (b *budgets) get(service string) *limits.Window {
+func (b *retryBudgets) get(service string) *limits.Window {
 	w := b.windows[service]
 	if w == nil {
-		w = limits.NewWindow(b.set)
+		w = limits.NewWindow(b.settings)
 		b.windows[service] = w
 	}
 	return w
 }
 
-func (b *budgets) request(service string) {
+func (b *retryBudgets) countRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.get(service).Request(b.now())
 }
 
-// room tells whether there is room for one repetition.
-func (b *budgets) room(service string, s limits.Sharing, recovery bool) bool {
+// hasRoom reports whether one more retry fits the budget, without taking it.
+func (b *retryBudgets) hasRoom(service string, s limits.Sharing, recovery bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.get(service).Room(b.now(), s, recovery)
 }
 
-// repeat takes one repetition, and returns false when there is no room.
-func (b *budgets) repeat(service string, s limits.Sharing, recovery bool) bool {
+// takeRetry takes one retry from the budget, and returns false when none is left.
+func (b *retryBudgets) takeRetry(service string, s limits.Sharing, recovery bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.get(service).Repeat(b.now(), s, recovery)
 }
 
-// Uses returns what this instance has counted, by service.
-func (f *Forwarder) Uses() map[string]limits.Counted {
-	f.budgets.mu.Lock()
-	defer f.budgets.mu.Unlock()
-	out := make(map[string]limits.Counted, len(f.budgets.windows))
-	for service, w := range f.budgets.windows {
-		out[service] = w.Own()
+// RetryCounts returns the requests and retries that this instance has counted, by service.
+func (f *Forwarder) RetryCounts() map[string]limits.Counted {
+	f.retryBudgets.mu.Lock()
+	defer f.retryBudgets.mu.Unlock()
+	counts := make(map[string]limits.Counted, len(f.retryBudgets.windows))
+	for service, w := range f.retryBudgets.windows {
+		counts[service] = w.Own()
 	}
-	return out
+	return counts
 }
 
-// HeardUses takes what another instance has counted; nil when it fell silent.
-func (f *Forwarder) HeardUses(peer string, uses map[string]limits.Counted) {
-	if f.Settings.Without.SharedRetries {
+// SetPeerRetryCounts records what another instance has counted. Nil counts remove an instance that
+// went silent.
+func (f *Forwarder) SetPeerRetryCounts(peer string, counts map[string]limits.Counted) {
+	if f.Settings.Disabled.SharedRetries {
 		return
 	}
-	f.budgets.mu.Lock()
-	defer f.budgets.mu.Unlock()
-	for service, c := range uses {
-		f.budgets.get(service).Heard(f.budgets.now(), peer, c)
+	f.retryBudgets.mu.Lock()
+	defer f.retryBudgets.mu.Unlock()
+	for service, c := range counts {
+		f.retryBudgets.get(service).Heard(f.retryBudgets.now(), peer, c)
 	}
-	if uses == nil {
-		for _, w := range f.budgets.windows {
+	if counts == nil {
+		for _, w := range f.retryBudgets.windows {
 			w.Forget(peer)
 		}
 	}
 }
 
-// mayRepeat tells whether a request may be sent once more, and counts it. recovery tells that it goes on
-// from a copy of its memory.
-func (f *Forwarder) mayRepeat(service string, recovery bool) bool {
-	if !f.budgets.repeat(service, f.sharing(), recovery) {
-		f.metrics.repeatsRefused.Inc(1)
+// takeRetry reports whether a request may be retried, and counts the retry. recovery is set when
+// the request resumes from a copy of its memory.
+func (f *Forwarder) takeRetry(service string, recovery bool) bool {
+	if !f.retryBudgets.takeRetry(service, f.sharing(), recovery) {
+		f.metrics.retriesDenied.Inc(1)
 		return false
 	}
 	f.metrics.retries.Inc(1)
-	f.Others.Repeated()
+	f.Peers.Repeated()
 	return true
 }
 
-// hasRoom tells whether a request could be sent once more, and counts nothing.
-func (f *Forwarder) hasRoom(service string, recovery bool) bool {
-	return f.budgets.room(service, f.sharing(), recovery)
+// hasRetryBudget reports whether a request could be retried, without counting a retry.
+func (f *Forwarder) hasRetryBudget(service string, recovery bool) bool {
+	return f.retryBudgets.hasRoom(service, f.sharing(), recovery)
 }
 
 func (f *Forwarder) sharing() limits.Sharing {
-	heard, known := f.Others.Instances()
-	if f.Settings.Without.SharedRetries {
-		heard = 1
+	alive, known := f.Peers.Instances()
+	if f.Settings.Disabled.SharedRetries {
+		alive = 1
 	}
-	return limits.Sharing{Heard: heard, Known: known}
+	return limits.Sharing{Heard: alive, Known: known}
 }
 
-// leastWindow is the window used where settings name none.
-const leastWindow = 10 * time.Second
+// defaultRetryWindow is used when the settings give no window.
+const defaultRetryWindow = 10 * time.Second
--- a/gateway/forward/claim.go
+++ b/gateway/forward/claim.go
@@ -9,13 +9,15 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// claimTries is how many engines are tried that turn out to be full; what is believed of them is mended by each refusal.
-const claimTries = 6
+// maxClaimAttempts is how many engines are tried when claims are refused. Each refusal also
+// corrects what is known about the engine.
+const maxClaimAttempts = 6
 
-// claimEngine chooses an engine and claims room there.
+// claimEngine chooses an engine and claims room there. It returns [routing.ErrFull] also when the
+// claims at all engines it tried were refused.
 func (f *Forwarder) claimEngine(ctx context.Context, r *routing.Request) (routing.Decision, error) {
 	avoid := r.Avoid
-	for range claimTries {
+	for range maxClaimAttempts {
 		d, err := f.Placement.Pick(r)
 		if err != nil {
 			if len(r.Avoid) > len(avoid) && errors.Is(err, routing.ErrNone) {
@@ -23,7 +25,7 @@
 			}
 			return d, err
 		}
-		if d.Endpoint.Memory == 0 || f.Settings.Without.Claims || f.Others.Claim(ctx, d.Endpoint.ID, claimOf(r)) {
+		if d.Endpoint.Memory == 0 || f.Settings.Disabled.Claims || f.Peers.Claim(ctx, d.Endpoint.ID, newClaim(r)) {
 			return d, nil
 		}
 		f.metrics.claimsRefused.Inc(1)
@@ -32,18 +34,19 @@
 	return routing.Decision{}, routing.ErrFull
 }
 
-func claimOf(r *routing.Request) routing.Claim {
+func newClaim(r *routing.Request) routing.Claim {
 	return routing.Claim{Tokens: r.Tokens, Unread: r.Prompt, Within: r.Within, Recovery: r.Recovery}
 }
 
-// claimKept is how long an engine claimed for a request that waited is used without another choice.
-const claimKept = 100 * time.Millisecond
+// claimedEngineTTL is how long a claimed engine is used without choosing again.
+const claimedEngineTTL = 100 * time.Millisecond
 
-// claimedEngine returns the engine that was claimed while the request waited; nil when that is too long ago or may not be used.
+// claimedEngine takes the engine that was claimed while the request waited. It returns nil when
+// there is none, the claim is too old, or the engine may not be used.
 func (req *request) claimedEngine(r *routing.Request) *routing.Decision {
-	d := req.engine
-	req.engine = nil
-	if d == nil || time.Since(req.claimedAt) >= claimKept || !r.Builds.Allow(&d.Endpoint) || slices.Contains(r.Avoid, d.Endpoint.ID) {
+	d := req.claimed
+	req.claimed = nil
+	if d == nil || time.Since(req.claimedAt) >= claimedEngineTTL || !r.Builds.Allow(&d.Endpoint) || slices.Contains(r.Avoid, d.Endpoint.ID) {
 		return nil
 	}
 	return d
--- a/gateway/forward/copies.go
+++ b/gateway/forward/copies.go
@@ -14,25 +14,27 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// A copy of the memory of each stream is kept at an engine of another data centre, so that the loss of a
-// whole data centre leaves it. Going on from a copy takes some tens of milliseconds, where reading a
-// prompt of 8,000 tokens again takes a second.
+// A copy of the memory of each stream is kept at an engine of another data centre, so that it
+// survives the loss of a whole data centre. Resuming from a copy takes some tens of milliseconds,
+// whereas prefilling a prompt of 8,000 tokens again takes a second.
 
 const (
-	// renewParts is the part of the time that an engine keeps a copy after which it is renewed.
-	renewParts = 2
-	// copyRetry is the pause before another copy is asked for.
-	copyRetry = 300 * time.Millisecond
-	// copyCheck is how often the engine that holds a copy is looked at.
-	copyCheck = 150 * time.Millisecond
-	// copyTimeout bounds a copy: 1.3 GB take 10 ms on an idle link, and wait behind others.
+	// copyRenewDivisor sets the renewal interval: the time that an engine keeps a copy, divided by
+	// this.
+	copyRenewDivisor = 2
+	// copyRetryDelay is the delay before another copy is requested after one failed or was lost.
+	copyRetryDelay = 300 * time.Millisecond
+	// copyCheckInterval is how often the engine that holds a copy is checked.
+	copyCheckInterval = 150 * time.Millisecond
+	// copyTimeout bounds a copy. 1.3 GB take 10 ms on an idle link, but copies queue behind others.
 	copyTimeout = 700 * time.Millisecond
-	// freeTimeout bounds giving a copy back.
-	freeTimeout = 300 * time.Millisecond
+	// freeCopyTimeout bounds the call that frees a copy.
+	freeCopyTimeout = 300 * time.Millisecond
 )
 
-// engine describes the engines of the session's service; nil where they are none.
-func (s *session) engine() *route.Engine {
+// engineSpec returns the description of the engines of the session's service; nil when the service
+// has no engines.
+func (s *session) engineSpec() *route.Engine {
 	if service := s.req.table.Service(s.req.service); service != nil {
 		return service.Engine
 	}
@@ -40,40 +42,41 @@
 }
 
 func (s *session) copySettings() copies.Settings {
-	set := copies.Settings{Retry: copyRetry}
-	if e := s.engine(); e != nil && e.CopiesOnRequest && !s.f.Settings.Without.Copies {
-		set.Renew = e.CopyTTL / renewParts
+	settings := copies.Settings{Retry: copyRetryDelay}
+	if e := s.engineSpec(); e != nil && e.CopiesOnRequest && !s.f.Settings.Disabled.Copies {
+		settings.Renew = e.CopyTTL / copyRenewDivisor
 	}
-	return set
+	return settings
 }
 
-// placeCopy picks the engine that keeps a copy of a run that is about to begin at e, and returns its
-// address; empty when the engines can't do that or none has room.
+// placeCopy picks the engine that keeps a copy of a run that is about to start at e, and returns
+// its address. It returns an empty string when the engines do not support continuous copies or none
+// has room.
 func (s *session) placeCopy(e *routing.Endpoint) string {
 	now := time.Now()
-	engine := s.engine()
-	if engine == nil || !engine.ContinuousCopies || s.f.Settings.Without.Copies {
+	engine := s.engineSpec()
+	if engine == nil || !engine.ContinuousCopies || s.f.Settings.Disabled.Copies {
 		s.copies.Begin(now, copies.Holder{})
 		return ""
 	}
-	at := s.pickCopy(e)
-	if at == nil {
+	target := s.pickCopyEngine(e)
+	if target == nil {
 		s.copies.Begin(now, copies.Holder{})
 		return ""
 	}
-	s.copies.Begin(now, copies.Holder{Endpoint: at.ID, Address: at.Address})
-	s.account(at.ID)
-	return at.Address
+	s.copies.Begin(now, copies.Holder{Endpoint: target.ID, Address: target.Address})
+	s.accountCopy(target.ID)
+	return target.Address
 }
 
-// pickCopy chooses an engine for a copy of a run at e: in another data centre, or in the same where no
-// other one has room. It returns nil when there is none at all.
-func (s *session) pickCopy(e *routing.Endpoint) *routing.Endpoint {
-	r := s.request()
+// pickCopyEngine chooses an engine for a copy of a run at e: in another data centre, or in the same
+// one when no other has room. It returns nil when no engine has room.
+func (s *session) pickCopyEngine(e *routing.Endpoint) *routing.Endpoint {
+	r := s.routingRequest()
 	r.Avoid, r.Away, r.Copy, r.Weights = []string{e.ID}, e.DataCentre, true, copyWeights()
-	r.Builds, r.Short = s.f.Rollouts.CopyBuilds(s.req.service), s.f.short(s.req.service)
+	r.Builds, r.Short = s.f.Rollouts.CopyBuilds(s.req.service), s.f.lackedRoom(s.req.service)
 	r.Moves = r.Builds.Only != ""
-	if s.f.Settings.Without.CopyElsewhere {
+	if s.f.Settings.Disabled.CopyElsewhere {
 		r.Away = ""
 	}
 	d, err := s.f.Placement.Pick(r)
@@ -87,30 +90,30 @@
 	return &d.Endpoint
 }
 
-// copyWeights ranks engines that may keep a copy: by the memory that is left, and by load, since a
-// stream that goes on there runs beside what is there.
+// copyWeights ranks engines for a copy: by free memory, and by load, since a stream that resumes
+// there runs beside the streams of that engine.
 func copyWeights() routing.Weights { return routing.Weights{Load: 0.5, Memory: 1} }
 
-// account records what the copy takes at an engine; empty for none.
-func (s *session) account(endpoint string) {
-	if s.copyAt != "" {
-		s.f.Placement.Release(s.copyAt, s.copyPlaced())
-		s.f.Others.Freed(s.copyAt)
+// accountCopy moves the accounting of the copy's memory to an engine; an empty id only releases it.
+func (s *session) accountCopy(endpoint string) {
+	if s.copyEngineID != "" {
+		s.f.Placement.Release(s.copyEngineID, s.copyPlaced())
+		s.f.Peers.Freed(s.copyEngineID)
 	}
-	s.copyAt = endpoint
+	s.copyEngineID = endpoint
 	if endpoint != "" {
 		s.f.Placement.Place(endpoint, s.copyPlaced())
 	}
 }
 
-func (s *session) copyPlaced() routing.Placed { return routing.Placed{Tokens: s.tokens()} }
+func (s *session) copyPlaced() routing.Placed { return routing.Placed{Tokens: s.peakTokens()} }
 
-// takeCopy returns the engine with the copy, to go on there; nil when there is none or it failed.
-// Nothing is copied before the first event.
-func (s *session) takeCopy(avoid []string) (*routing.Endpoint, copies.Holder) {
+// useCopy returns the engine that holds the copy, to resume there, and the copy. It returns nil
+// when there is no copy or its engine can't be used. Nothing is copied before the first event.
+func (s *session) useCopy(avoid []string) (*routing.Endpoint, copies.Holder) {
 	holder, ok := s.copies.Holder()
-	s.account("")
-	if !ok || s.relayed == 0 || slices.Contains(avoid, holder.Endpoint) {
+	s.accountCopy("")
+	if !ok || s.relayedEvents == 0 || slices.Contains(avoid, holder.Endpoint) {
 		return nil, copies.Holder{}
 	}
 	e, ok := s.f.Placement.Get(holder.Endpoint)
@@ -120,75 +123,76 @@
 	return &e, holder
 }
 
-// dropCopy forgets the copy of a run that did not begin.
+// dropCopy forgets the copy of a run that did not start.
 func (s *session) dropCopy() {
 	s.copies.Stop()
 	if h, ok := s.copies.Holder(); ok {
 		s.copies.Lost(time.Now(), h.Endpoint)
 	}
-	s.account("")
+	s.accountCopy("")
 }
 
-// restoreCopy takes back the copy from which a run was to go on that was not sent; the zero holder where it was to read
-// its prompt. The engine chosen for the copy of that run has none.
-func (s *session) restoreCopy(from copies.Holder) {
+// restoreCopy restores the copy that an unsent run was to resume from; zero when the run was to
+// prefill its prompt. The engine chosen for the new run's copy holds none.
+func (s *session) restoreCopy(resumeFrom copies.Holder) {
 	s.dropCopy()
-	if from != (copies.Holder{}) {
-		s.copies.Begin(time.Now(), from)
-		s.account(from.Endpoint)
+	if resumeFrom != (copies.Holder{}) {
+		s.copies.Begin(time.Now(), resumeFrom)
+		s.accountCopy(resumeFrom.Endpoint)
 	}
 }
 
-// renewCopy looks after the engine that holds the copy, and asks for another copy when one is due.
-func (s *session) renewCopy(now time.Time) {
-	if now.Sub(s.checkedAt) >= copyCheck {
-		s.checkedAt = now
+// maintainCopy checks the engine that holds the copy, and requests another copy when one is due.
+func (s *session) maintainCopy(now time.Time) {
+	if now.Sub(s.copyCheckedAt) >= copyCheckInterval {
+		s.copyCheckedAt = now
 		if h, ok := s.copies.Holder(); ok && !s.f.Placement.Usable(h.Endpoint) {
-			s.f.Log.Decision(s.req.ID, "copy lost", logrus.Fields{"endpoint": h.Endpoint, "events": s.relayed})
+			s.f.Log.Decision(s.req.ID, "copy lost", logrus.Fields{"endpoint": h.Endpoint, "events": s.relayedEvents})
 			s.copies.Lost(now, h.Endpoint)
-			s.account("")
+			s.accountCopy("")
 		}
 		s.followRollout(now)
 	}
-	if !s.copiable() {
+	if !s.canCopy() {
 		return
 	}
 	if c, due := s.copies.Tick(now); due {
-		s.copy(s.current(), c)
+		s.requestCopy(s.currentAttempt(), c)
 	}
 }
 
-// copiable tells whether an engine has memory of the run to copy: from its first event on.
-func (s *session) copiable() bool {
-	a := s.current()
-	return a != nil && a.began && !a.over
+// canCopy reports whether the current engine has memory of the run to copy, which it has from the
+// first event on.
+func (s *session) canCopy() bool {
+	a := s.currentAttempt()
+	return a != nil && a.hasEvent && !a.ended
 }
 
-// copy asks the engine of an attempt for a copy of its memory.
-func (s *session) copy(a *attempt, c copies.Copy) {
+// requestCopy asks the engine of an attempt to copy the run's memory.
+func (s *session) requestCopy(a *attempt, c copies.Copy) {
 	to := s.copyTarget(a, c)
 	if to == nil {
-		s.f.Log.Decision(s.req.ID, "no engine for a copy", logrus.Fields{"endpoint": a.endpoint.ID, "events": s.relayed, "to": c.To})
+		s.f.Log.Decision(s.req.ID, "no engine for a copy", logrus.Fields{"endpoint": a.endpoint.ID, "events": s.relayedEvents, "to": c.To})
 		s.copies.Copied(time.Now(), copies.Holder{})
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, copyTimeout)
 		defer cancel()
-		handle, err := s.f.copyRun(ctx, s.req.ID, &a.endpoint, to)
+		handle, err := s.f.copyMemory(ctx, s.req.ID, &a.endpoint, to)
 		m := message{kind: attemptCopied, err: err}
 		if err == nil {
 			m.holder = copies.Holder{Endpoint: to.ID, Address: a.endpoint.Address, Handle: handle}
 		}
-		a.tell(s.ctx, m)
+		a.report(s.ctx, m)
 	}()
 }
 
-// copyTarget returns the engine to copy to: the one that holds a copy already, since only what is new
-// moves there, or another one.
+// copyTarget returns the engine to copy to: the current holder, since only new data has to move
+// there, or else a newly picked one.
 func (s *session) copyTarget(a *attempt, c copies.Copy) *routing.Endpoint {
 	if c.To == "" {
-		return s.pickCopy(&a.endpoint)
+		return s.pickCopyEngine(&a.endpoint)
 	}
 	e, ok := s.f.Placement.Get(c.To)
 	if !ok {
@@ -197,57 +201,58 @@
 	return &e
 }
 
-func (f *Forwarder) copyRun(ctx context.Context, id string, from, to *routing.Endpoint) (string, error) {
+func (f *Forwarder) copyMemory(ctx context.Context, id string, from, to *routing.Endpoint) (string, error) {
 	body, err := platform.EncodeCopy(id, to.Address)
 	if err != nil {
 		return "", err
 	}
-	raw, err := f.ask(ctx, from, http.MethodPost, platform.CopyPath, body)
+	raw, err := f.callEngine(ctx, from, http.MethodPost, platform.CopyPath, body)
 	if err != nil {
 		return "", err
 	}
 	return platform.DecodeCopy(raw)
 }
 
-// copied takes the end of a copy that was asked for.
-func (s *session) copied(now time.Time, m message) {
-	if a := s.current(); a == nil || a.number != m.attempt {
+// handleCopyResult handles the end of a requested copy.
+func (s *session) handleCopyResult(now time.Time, m message) {
+	if a := s.currentAttempt(); a == nil || a.number != m.attempt {
 		return
 	}
-	s.f.Log.Decision(s.req.ID, "copied", logrus.Fields{"from": m.endpoint, "to": m.holder.Endpoint, "events": s.relayed, "error": errorText(m.err)})
+	s.f.Log.Decision(s.req.ID, "copy finished", logrus.Fields{"from": m.endpoint, "to": m.holder.Endpoint, "events": s.relayedEvents, "error": errorText(m.err)})
 	s.copies.Copied(now, m.holder)
-	s.account(m.holder.Endpoint)
+	s.accountCopy(m.holder.Endpoint)
 }
 
-// freeCopy gives the copy of a run that ended well back. A copy that the engine kept by itself is freed
-// by it.
+// freeCopy frees the copy of a run that completed. An engine that kept a copy continuously frees it
+// itself.
 func (s *session) freeCopy() {
 	h, ok := s.copies.Holder()
-	a := s.current()
-	s.account("")
+	a := s.currentAttempt()
+	s.accountCopy("")
 	if !ok || h.Handle == "" || a == nil {
 		return
 	}
 	f, e := s.f, a.endpoint
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), freeCopyTimeout)
 		defer cancel()
-		// What is not given back is dropped after a while.
-		if _, err := f.ask(ctx, &e, http.MethodDelete, platform.FreePath(h.Handle), nil); err != nil {
-			f.Log.Decision(s.req.ID, "copy not given back", logrus.Fields{"endpoint": e.ID, "error": err.Error()})
+		// The engine drops a copy that is not freed after its TTL.
+		if _, err := f.callEngine(ctx, &e, http.MethodDelete, platform.FreePath(h.Handle), nil); err != nil {
+			f.Log.Decision(s.req.ID, "copy not freed", logrus.Fields{"endpoint": e.ID, "error": err.Error()})
 		}
 	}()
 }
 
-// leaveCopy accounts for a copy whose run did not end well: it stays for a while.
-func (s *session) leaveCopy() {
-	if s.copyAt == "" || s.engine() == nil {
+// releaseCopyLater releases the accounting of the copy of a run that did not complete after the
+// copy's TTL, since the engine keeps it until then.
+func (s *session) releaseCopyLater() {
+	if s.copyEngineID == "" || s.engineSpec() == nil {
 		return
 	}
-	f, at, placed := s.f, s.copyAt, s.copyPlaced()
-	s.copyAt = ""
-	time.AfterFunc(s.engine().CopyTTL, func() {
-		f.Placement.Release(at, placed)
-		f.Others.Freed(at)
+	f, engineID, placed := s.f, s.copyEngineID, s.copyPlaced()
+	s.copyEngineID = ""
+	time.AfterFunc(s.engineSpec().CopyTTL, func() {
+		f.Placement.Release(engineID, placed)
+		f.Peers.Freed(engineID)
 	})
 }
--- a/gateway/forward/crashes.go
+++ b/gateway/forward/crashes.go
@@ -16,21 +16,25 @@
 	"github.com/agateway/agateway/gateway/upstream"
 )
 
-// Crashes is what is known of requests that end the endpoints that run them.
+// Crashes tracks the requests that crash the endpoints that run them.
 type Crashes interface {
-	// Verdict returns what may be done with a request to a service, and for how long it is stopped.
+	// Verdict returns what may be done with a request to a service, and for how much longer it is
+	// stopped.
 	Verdict(req crashers.Request, service string) (crashers.Verdict, time.Duration)
-	// Ended reports that an endpoint ended under a request, Progressed that one has served it for a while, and Served that it was served.
+	// Ended reports that an endpoint crashed under a request, Progressed that an endpoint has
+	// served the request for a while, and Served that the whole answer arrived, also an error
+	// answer.
 	Ended(req crashers.Request, end crashers.End, inputs logrus.Fields)
 	Progressed(crashers.Request)
 	Served(crashers.Request)
-	// Admit tells whether a request may be sent to an endpoint of a service. One that is to be handled with care is tried by who asks,
-	// until Tried.
-	Admit(req crashers.Request, service string, by any) crashes.Admission
-	Tried(req crashers.Request, by any)
+	// Admit reports whether a request may be sent to an endpoint of a service. A suspected request
+	// is on trial by owner from then on, until owner calls Tried. Only one owner tries it at a
+	// time.
+	Admit(req crashers.Request, service string, owner any) crashes.Admission
+	Tried(req crashers.Request, owner any)
 }
 
-// noCrashes holds nothing against any request.
+// noCrashes suspects no request.
 type noCrashes struct{}
 
 func (noCrashes) Verdict(crashers.Request, string) (crashers.Verdict, time.Duration) {
@@ -46,39 +50,40 @@
 
 // refuseIfStopped refuses a request that is stopped.
 func (f *Forwarder) refuseIfStopped(req *request) *refusal {
-	if v, left := f.Crashes.Verdict(req.identity, req.service); v == crashers.Stopped {
-		return f.refuseStopped(req, left)
+	if verdict, stoppedFor := f.Crashes.Verdict(req.identity, req.service); verdict == crashers.Stopped {
+		return f.refuseStopped(req, stoppedFor)
 	}
 	return nil
 }
 
-// refuseStopped refuses a request that ends the endpoints that run it, and says when it may be tried again.
-func (f *Forwarder) refuseStopped(req *request, left time.Duration) *refusal {
+// refuseStopped refuses a request that crashes endpoints, and says when it may be tried again.
+func (f *Forwarder) refuseStopped(req *request, stoppedFor time.Duration) *refusal {
 	f.metrics.stoppedRefused.Inc(1)
-	return refuse(http.StatusServiceUnavailable, whyStopped, max(left, soonLeast)).with(logrus.Fields{"content": req.contentText()})
+	return refuse(http.StatusServiceUnavailable, reasonRequestStopped, max(stoppedFor, soonRetryMin)).with(logrus.Fields{"content": req.contentText()})
 }
 
-const whyStopped = "the request ends the endpoints that run it"
+const reasonRequestStopped = "the request ends the endpoints that run it"
 
-// loss describes a request that is about to be sent to an endpoint, as it would be lost there.
+// loss returns the record of losing this request at an endpoint, before anything was sent.
 func (req *request) loss(e *routing.Endpoint) crashes.Loss {
 	return crashes.Loss{Request: req.identity, ID: req.ID, Endpoint: e.ID, Service: e.Service}
 }
 
-// hasEnded tells whether the process of an endpoint is gone that was not told to leave: its machine refuses connections.
-func (f *Forwarder) hasEnded(id string) bool {
+// processHasEnded reports whether the process of an endpoint that was not told to leave is gone:
+// its machine refuses connections.
+func (f *Forwarder) processHasEnded(id string) bool {
 	e, ok := f.Placement.Get(id)
 	if !ok || e.State == routing.Leaving {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), f.Settings.Probe)
+	ctx, cancel := context.WithTimeout(context.Background(), f.Settings.ProbeTimeout)
 	defer cancel()
-	for range dials {
+	for range maxProcessDials {
 		conn, err := f.Pool.Dial(ctx, upstream.Target{ID: e.ID, Address: e.Address})
 		if err != nil {
 			return errorx.IsOfType(err, upstream.ErrGone)
 		}
-		closed := conn.Closed(dying)
+		closed := conn.Closed(processExitWait)
 		conn.Discard()
 		if !closed {
 			return false
@@ -87,13 +92,13 @@
 	return false
 }
 
-// isUnreachable tells whether an endpoint that was not told to leave can't be connected to.
+// isUnreachable reports whether an endpoint that was not told to leave can't be connected to.
 func (f *Forwarder) isUnreachable(id string) bool {
 	e, ok := f.Placement.Get(id)
 	if !ok || e.State == routing.Leaving {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), f.Settings.Probe)
+	ctx, cancel := context.WithTimeout(context.Background(), f.Settings.ProbeTimeout)
 	defer cancel()
 	conn, err := f.Pool.Dial(ctx, upstream.Target{ID: e.ID, Address: e.Address})
 	if err != nil {
@@ -104,101 +109,107 @@
 }
 
 const (
-	// dying is how long a process that ends may still accept connections, which end with it.
-	dying = 25 * time.Millisecond
-	// dials bounds the connections made to find out: an endpoint that has too many closes new ones as well.
-	dials = 3
+	// processExitWait is how long an exiting process may still accept connections, which close when
+	// it exits.
+	processExitWait = 25 * time.Millisecond
+	// maxProcessDials bounds the connections of one check. An endpoint with too many connections
+	// closes new ones as well.
+	maxProcessDials = 3
 )
 
-// mayStart tells whether a session may send its request to another engine; if not, the machine was told.
-func (s *session) mayStart(now time.Time, attempt int) bool {
-	a := s.f.Crashes.Admit(s.req.identity, s.req.service, s)
+// admitAttempt reports whether a session may send its request to another engine. If not, it has
+// already reported the failure to the state machine.
+func (s *session) admitAttempt(now time.Time, attempt int) bool {
+	admission := s.f.Crashes.Admit(s.req.identity, s.req.service, s)
 	switch {
-	case a.Verdict == crashers.Stopped:
-		s.machine.Failed(now, attempt, generation.Stopped, a.Left)
+	case admission.Verdict == crashers.Stopped:
+		s.machine.Failed(now, attempt, generation.Stopped, admission.Left)
 		return false
-	case a.Busy:
+	case admission.Busy:
 		s.machine.Failed(now, attempt, generation.NoEndpoint, 0)
 		return false
-	case a.Verdict != crashers.Careful:
-		s.tried()
+	case admission.Verdict != crashers.Careful:
+		s.endCrashTrial()
 		return true
 	}
-	s.careful = true
+	s.inCrashTrial = true
 	return true
 }
 
-// tried ends the session's trial, if it has one.
-func (s *session) tried() {
-	if s.careful {
-		s.careful = false
+// endCrashTrial ends the session's crash trial, if it has one.
+func (s *session) endCrashTrial() {
+	if s.inCrashTrial {
+		s.inCrashTrial = false
 		s.f.Crashes.Tried(s.req.identity, s)
 	}
 }
 
-// servedSoFar ends the trial of the request once its stream has run for a moment, and clears it after a while.
-func (s *session) servedSoFar(now time.Time) {
-	ran := now.Sub(s.firstAt)
-	if ran >= crashes.TriedAfter {
-		s.tried()
+// recordServingTime ends the crash trial of a request after its stream has run for
+// [crashes.TriedAfter], and clears the request after [crashes.ServedAfter].
+func (s *session) recordServingTime(now time.Time) {
+	servingTime := now.Sub(s.firstEventAt)
+	if servingTime >= crashes.TriedAfter {
+		s.endCrashTrial()
 	}
-	if !s.served && ran >= crashes.ServedAfter {
-		s.served = true
+	if !s.reportedProgress && servingTime >= crashes.ServedAfter {
+		s.reportedProgress = true
 		s.f.Crashes.Progressed(s.req.identity)
 	}
 }
 
-// endStreams ends the streams of a request that was stopped, at whatever engine they are: another instance may have seen that
-// it ends them.
-func (f *Forwarder) endStreams(stopped crashers.Request) {
+// stopStreams ends the streams of a stopped request that have no events yet, at all engines. Another
+// instance may have found that the request crashes them.
+func (f *Forwarder) stopStreams(stopped crashers.Request) {
 	f.sessionsMu.Lock()
-	var all []*session
+	var affected []*session
 	for s := range f.sessions {
 		if s.req.identity == stopped {
-			all = append(all, s)
+			affected = append(affected, s)
 		}
 	}
 	f.sessionsMu.Unlock()
-	for _, s := range all {
+	for _, s := range affected {
 		select {
-		case s.messages <- message{kind: sessionStopped}:
+		case s.messages <- message{kind: requestStopped}:
 		case <-s.ctx.Done():
 		case <-s.done:
 		}
 	}
 }
 
-// Stopped takes that a request was stopped, here or by another instance.
-func (f *Forwarder) Stopped(req crashers.Request) { go f.endStreams(req) }
+// StopRequest ends the streams, unless they have events, of a request that was stopped by this
+// instance or by another one. It does not block.
+func (f *Forwarder) StopRequest(req crashers.Request) { go f.stopStreams(req) }
 
-// mayTry tells whether a plain request may be sent to another endpoint; if not, it says why. It waits while another instance tries
-// the request, for as long as for an endpoint with room.
-func (p *plain) mayTry(ctx context.Context) *refusal {
+// awaitAdmission returns nil when a plain request may be sent to an endpoint, or the refusal if
+// not. While the request is on trial elsewhere it waits, for as long as it would wait for an
+// endpoint with room.
+func (p *plain) awaitAdmission(ctx context.Context) *refusal {
 	for until := p.waitUntil(); ; {
-		a := p.f.Crashes.Admit(p.req.identity, p.req.service, p)
+		admission := p.f.Crashes.Admit(p.req.identity, p.req.service, p)
 		switch {
-		case a.Verdict == crashers.Stopped:
-			return p.f.refuseStopped(p.req, a.Left)
-		case !a.Busy:
+		case admission.Verdict == crashers.Stopped:
+			return p.f.refuseStopped(p.req, admission.Left)
+		case !admission.Busy:
 			return nil
 		}
-		if !time.Now().Add(waitStep).Before(until) || !pause.For(ctx, waitStep) {
-			return refuse(http.StatusServiceUnavailable, "the request is being tried, since endpoints ended under it", whenRoom(0))
+		if !time.Now().Add(roomWaitInterval).Before(until) || !pause.For(ctx, roomWaitInterval) {
+			return refuse(http.StatusServiceUnavailable, "the request is being tried, since endpoints ended under it", retryWhenRoom(0))
 		}
 	}
 }
 
-// tried ends the trial of a plain request, if it is one.
-func (p *plain) tried() { p.f.Crashes.Tried(p.req.identity, p) }
+// endCrashTrial ends the crash trial of a plain request, if it has one.
+func (p *plain) endCrashTrial() { p.f.Crashes.Tried(p.req.identity, p) }
 
-// enter and exit keep the sessions that are in progress.
-func (f *Forwarder) enter(s *session) {
+// addSession and removeSession keep track of the sessions in progress.
+func (f *Forwarder) addSession(s *session) {
 	f.sessionsMu.Lock()
 	defer f.sessionsMu.Unlock()
 	f.sessions[s] = true
 }
 
-func (f *Forwarder) exit(s *session) {
+func (f *Forwarder) removeSession(s *session) {
 	f.sessionsMu.Lock()
 	defer f.sessionsMu.Unlock()
 	delete(f.sessions, s)
--- a/gateway/forward/deadline.go
+++ b/gateway/forward/deadline.go
@@ -11,51 +11,53 @@
 	"github.com/agateway/agateway/core/limits"
 )
 
-// streamTimes is how long streams take, by service. The zero value is empty; it is safe for concurrent use.
+// streamTimes holds how long streams take, by service. The zero value is empty. It is safe for
+// concurrent use.
 type streamTimes struct {
-	mu  sync.Mutex
-	all map[string]*limits.StreamTimes
+	mu        sync.Mutex
+	byService map[string]*limits.StreamTimes
 }
 
-// change calls f with what is known of a service.
-func (t *streamTimes) change(service string, f func(*limits.StreamTimes)) {
+// update calls f with the times of a service, under the lock.
+func (t *streamTimes) update(service string, f func(*limits.StreamTimes)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.all == nil {
-		t.all = map[string]*limits.StreamTimes{}
+	if t.byService == nil {
+		t.byService = map[string]*limits.StreamTimes{}
 	}
-	of := t.all[service]
-	if of == nil {
-		of = &limits.StreamTimes{}
-		t.all[service] = of
+	times := t.byService[service]
+	if times == nil {
+		times = &limits.StreamTimes{}
+		t.byService[service] = times
 	}
-	f(of)
+	f(times)
 }
 
-// refuseTooLate refuses a stream that can't end before its deadline, however fast it is served. prefilled tells that an engine is known
-// to keep the prompt.
+// refuseTooLate refuses a stream that can't end before its deadline even at the best speed seen.
+// prefilled is set when an engine is known to hold the prompt.
 func (f *Forwarder) refuseTooLate(req *request, prefilled bool) *refusal {
 	if req.deadline.IsZero() {
 		return nil
 	}
-	work := limits.StreamWork{Unread: req.PromptTokens, OutputTokens: req.OutputTokens, Made: made(req.LastEvent)}
+	work := limits.StreamWork{Unread: req.PromptTokens, OutputTokens: req.OutputTokens, Made: eventsReceived(req.LastEvent)}
 	if prefilled {
 		work.Unread = 0
 	}
-	var least time.Duration
+	var minimum time.Duration
 	var known bool
-	f.streamTimes.change(req.service, func(t *limits.StreamTimes) { least, known = t.Least(work) })
-	left := time.Until(req.deadline)
-	if !known || least <= left {
+	f.streamTimes.update(req.service, func(t *limits.StreamTimes) { minimum, known = t.Least(work) })
+	timeLeft := time.Until(req.deadline)
+	if !known || minimum <= timeLeft {
 		return nil
 	}
 	return refuse(http.StatusServiceUnavailable, "the stream can't end in time", 0).with(logrus.Fields{
-		"least_ms": least.Milliseconds(), "left_ms": left.Milliseconds(), "prompt_tokens": work.Unread, "made": work.Made,
+		"least_ms": minimum.Milliseconds(), "left_ms": timeLeft.Milliseconds(), "prompt_tokens": work.Unread, "made": work.Made,
 	})
 }
 
-// made returns how many events a caller has that holds the last event with an id; 0 for an id that is not a number.
-func made(lastEvent string) int {
+// eventsReceived returns how many events a caller has received whose last event has the id
+// lastEvent; 0 when the id is not a number.
+func eventsReceived(lastEvent string) int {
 	n, err := strconv.Atoi(lastEvent)
 	if err != nil {
 		return 0
@@ -63,10 +65,10 @@
 	return n
 }
 
-// observeStream takes how long a whole stream took.
+// observeStream records how long a complete stream took.
 func (s *session) observeStream() {
-	events, gaps := made(s.lastEvent), s.relayed-1
-	s.f.streamTimes.change(s.req.service, func(t *limits.StreamTimes) {
-		t.ObserveStream(s.req.OutputTokens, events, gaps, s.lastAt.Sub(s.firstAt))
+	events, gaps := eventsReceived(s.lastEventID), s.relayedEvents-1
+	s.f.streamTimes.update(s.req.service, func(t *limits.StreamTimes) {
+		t.ObserveStream(s.req.OutputTokens, events, gaps, s.lastEventAt.Sub(s.firstEventAt))
 	})
 }
--- a/gateway/forward/drain.go
+++ b/gateway/forward/drain.go
@@ -7,61 +7,65 @@
 	"time"
 )
 
-// drain is a graceful shutdown in progress.
+// drain is the state of a graceful shutdown.
 type drain struct {
-	// until is when requests in progress are ended by force.
+	// until is when requests in progress are cancelled.
 	until time.Time
-	// last is when the last request without a deadline is taken.
-	last time.Time
-	// closed is set when no request is taken any more.
-	closed bool
+	// untilWithoutDeadline is until when requests without a deadline are accepted.
+	untilWithoutDeadline time.Time
+	// refuseAll is set when no request is accepted any more.
+	refuseAll bool
 }
 
-// lastParts divides the shutdown: in the last part no request without a deadline is taken.
-const lastParts = 4
+// drainTailDivisor sets the last part of the shutdown, 1/drainTailDivisor, in which requests
+// without a deadline are refused.
+const drainTailDivisor = 4
 
-// errEnding is the cause with which contexts of requests are cancelled at the forced end.
-var errEnding = errors.New("the instance ends")
+// errShutdown is the cancellation cause of requests that are cancelled by the shutdown.
+var errShutdown = errors.New("the instance ends")
 
-// whyEnding tells callers so.
-const whyEnding = "the instance ended before the answer came"
+// reasonShutdown is the reason that callers of cancelled requests receive.
+const reasonShutdown = "the instance ended before the answer came"
 
-// Drain begins a graceful shutdown: each answer says that its connection closes, and requests that may not end before until are refused.
-func (f *Forwarder) Drain(until time.Time) {
-	f.drain.Store(&drain{until: until, last: until.Add(-time.Until(until) / lastParts)})
+// Drain starts a graceful shutdown that ends at deadline. From now on each answer closes its
+// connection. Requests that may not end before deadline are refused.
+func (f *Forwarder) Drain(deadline time.Time) {
+	f.drain.Store(&drain{until: deadline, untilWithoutDeadline: deadline.Add(-time.Until(deadline) / drainTailDivisor)})
 }
 
-// Refuse makes the forwarder refuse all requests that come from now on.
-func (f *Forwarder) Refuse() { f.drain.Store(&drain{closed: true}) }
+// RefuseRequests refuses all requests that arrive from now on.
+func (f *Forwarder) RefuseRequests() { f.drain.Store(&drain{refuseAll: true}) }
 
-// End ends the requests in progress: those that can still be answered are told what became of them.
-func (f *Forwarder) End() {
-	f.Refuse()
-	f.end()
+// CancelRequests refuses new requests and cancels those in progress. Callers that have no answer
+// yet are told whether their request may have run.
+func (f *Forwarder) CancelRequests() {
+	f.RefuseRequests()
+	f.cancelRequests()
 }
 
-// refuses returns the refusal of a request that may not end before the process does; nil for others. A stream lasts about as long
-// as the process has left.
+// refuses returns the refusal of a request that may not end before the process does, and nil for
+// other requests. All streams are refused, since a stream lasts about as long as the shutdown.
 func (d *drain) refuses(now time.Time, req *request) *refusal {
-	if !d.closed && !req.route.Stream && d.ends(now, req) {
+	if !d.refuseAll && !req.route.Stream && d.endsInTime(now, req) {
 		return nil
 	}
-	return refuse(http.StatusServiceUnavailable, "stopping", soon())
+	return refuse(http.StatusServiceUnavailable, "stopping", retrySoon())
 }
 
-// ends tells whether a request ends before the process does.
-func (d *drain) ends(now time.Time, req *request) bool {
+// endsInTime reports whether a request ends before the process does.
+func (d *drain) endsInTime(now time.Time, req *request) bool {
 	if req.deadline.IsZero() {
-		return now.Before(d.last)
+		return now.Before(d.untilWithoutDeadline)
 	}
 	return req.deadline.Before(d.until)
 }
 
-// endable returns a context that is also cancelled at the forced end. Reads of the request's body fail from then on.
-func (f *Forwarder) endable(ctx context.Context, w http.ResponseWriter) (context.Context, context.CancelFunc) {
+// withShutdown returns a context that is also cancelled by [Forwarder.CancelRequests]. Reads of the
+// request's body fail from then on.
+func (f *Forwarder) withShutdown(ctx context.Context, w http.ResponseWriter) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(f.ending, func() {
-		cancel(errEnding)
+	stop := context.AfterFunc(f.shutdownCtx, func() {
+		cancel(errShutdown)
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now())
 	})
 	return ctx, func() {
@@ -70,5 +74,5 @@
 	}
 }
 
-// isEnding reports whether a context was cancelled at the forced end.
-func isEnding(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errEnding) }
+// isShutdown reports whether a context was cancelled by [Forwarder.CancelRequests].
+func isShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
--- a/gateway/forward/drain_test.go
+++ b/gateway/forward/drain_test.go
@@ -19,11 +19,12 @@
 	"github.com/agateway/agateway/gateway/placement"
 )
 
-// TestDrainRefuses: what may outlast the process is refused, whatever part of the grace is over.
+// TestDrainRefuses checks which requests a graceful shutdown accepts. A request that may outlast
+// the process must be refused at any time of the shutdown, since it would be cut off.
 func TestDrainRefuses(t *testing.T) {
 	began := time.Now()
-	after := func(d time.Duration) time.Time { return began.Add(d) }
-	open := &drain{until: after(8 * time.Second), last: after(6 * time.Second)}
+	at := func(d time.Duration) time.Time { return began.Add(d) }
+	open := &drain{until: at(8 * time.Second), untilWithoutDeadline: at(6 * time.Second)}
 	for name, c := range map[string]struct {
 		drain    *drain
 		now      time.Time
@@ -31,18 +32,18 @@
 		stream   bool
 		taken    bool
 	}{
-		"ends in time":                {open, began, after(3 * time.Second), false, true},
-		"ends in time, late":          {open, after(7 * time.Second), after(7900 * time.Millisecond), false, true},
-		"outlasts, early":             {open, began, after(8100 * time.Millisecond), false, false},
-		"outlasts, late":              {open, after(5900 * time.Millisecond), after(8900 * time.Millisecond), false, false},
-		"no deadline":                 {open, after(5900 * time.Millisecond), time.Time{}, false, true},
-		"no deadline, late":           {open, after(6100 * time.Millisecond), time.Time{}, false, false},
-		"stream":                      {open, began, after(3 * time.Second), true, false},
-		"nothing is taken any more":   {&drain{closed: true}, began, after(time.Second), false, false},
-		"nor what has no deadline":    {&drain{closed: true}, began, time.Time{}, false, false},
-		"nor what would end in time":  {&drain{until: after(8 * time.Second), closed: true}, began, after(time.Second), false, false},
-		"a deadline at the very end":  {open, began, after(8 * time.Second), false, false},
-		"a deadline that has passed ": {open, after(time.Second), began, false, true},
+		"ends in time":                {open, began, at(3 * time.Second), false, true},
+		"ends in time, late":          {open, at(7 * time.Second), at(7900 * time.Millisecond), false, true},
+		"outlasts, early":             {open, began, at(8100 * time.Millisecond), false, false},
+		"outlasts, late":              {open, at(5900 * time.Millisecond), at(8900 * time.Millisecond), false, false},
+		"no deadline":                 {open, at(5900 * time.Millisecond), time.Time{}, false, true},
+		"no deadline, late":           {open, at(6100 * time.Millisecond), time.Time{}, false, false},
+		"stream":                      {open, began, at(3 * time.Second), true, false},
+		"nothing is taken any more":   {&drain{refuseAll: true}, began, at(time.Second), false, false},
+		"nor what has no deadline":    {&drain{refuseAll: true}, began, time.Time{}, false, false},
+		"nor what would end in time":  {&drain{until: at(8 * time.Second), refuseAll: true}, began, at(time.Second), false, false},
+		"a deadline at the very end":  {open, began, at(8 * time.Second), false, false},
+		"a deadline that has passed ": {open, at(time.Second), began, false, true},
 	} {
 		refused := c.drain.refuses(c.now, &request{deadline: c.deadline, route: &route.Route{Stream: c.stream}})
 		assert.Check(t, (refused == nil) == c.taken, name)
@@ -52,21 +53,22 @@
 	}
 }
 
-// oneRoute is a configuration with one route to a service without endpoints.
-type oneRoute struct{ table *route.Table }
+// staticConfiguration is a configuration whose table never changes.
+type staticConfiguration struct{ table *route.Table }
 
-func (o oneRoute) Table() (*route.Table, time.Duration) { return o.table, 0 }
+func (o staticConfiguration) Table() (*route.Table, time.Duration) { return o.table, 0 }
 
-// TestNothingIsTakenAfterTheLastLook: once the forwarder refuses and nothing is in progress, no request is taken any more, so the
-// process may end.
-func TestNothingIsTakenAfterTheLastLook(t *testing.T) {
+// TestNoRequestIsTakenAfterRefuseRequests guards against requests that are cut off at the end of
+// the process. After RefuseRequests, once no request is in progress, no further request may be
+// accepted, since the process may then exit.
+func TestNoRequestIsTakenAfterRefuseRequests(t *testing.T) {
 	known := make(chan struct{})
 	close(known)
 	f := New(Options{
-		Configuration: oneRoute{route.NewTable(&route.Configuration{
+		Configuration: staticConfiguration{route.NewTable(&route.Configuration{
 			Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Targets: []route.Target{{Service: "s", Weight: 1}}, Timeout: time.Minute}},
 		})},
-		Known: known, Placement: placement.New(routing.DefaultSettings(), 1), Log: quietLog{}, Scope: tally.NoopScope,
+		Synced: known, Placement: placement.New(routing.DefaultSettings(), 1), Log: discardLog{}, Scope: tally.NoopScope,
 		Tracer: noop.NewTracerProvider().Tracer(""), Clock: func() time.Duration { return 0 },
 	})
 	f.Drain(time.Now().Add(time.Hour))
@@ -92,8 +94,8 @@
 	for taken.Load() == 0 {
 		runtime.Gosched()
 	}
-	f.Refuse()
-	for f.Open() > 0 {
+	f.RefuseRequests()
+	for f.OpenRequests() > 0 {
 		runtime.Gosched()
 	}
 	over.Store(true)
--- a/gateway/forward/events.go
+++ b/gateway/forward/events.go
@@ -7,54 +7,55 @@
 	"strconv"
 )
 
-// event is one event of a stream, as it came.
+// event is one event of a stream, unchanged.
 type event struct {
-	block    []byte // up to and with the empty line that ends it
-	id       uint64
-	numbered bool
+	raw   []byte // including the empty line that ends it
+	id    uint64
+	hasID bool
 }
 
 // Bounds on the memory of a stream.
 const (
-	eventBuffer = 4 << 10
-	// eventMost is the largest event that is passed on, in bytes.
-	eventMost = 256 << 10
+	eventBufferBytes = 4 << 10
+	// maxEventBytes is the size of the largest event that is relayed.
+	maxEventBytes = 256 << 10
 )
 
-// eventReader cuts a stream of server-sent events into whole events. What is left when a stream
-// breaks off in the middle of an event is never returned.
+// eventReader splits a stream of server-sent events into whole events. It never returns a partial
+// event when the stream breaks off.
 type eventReader struct {
 	r *bufio.Reader
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{bufio.NewReaderSize(r, eventBuffer)}
+	return &eventReader{bufio.NewReaderSize(r, eventBufferBytes)}
 }
 
 var idField = []byte("id:")
 
-// next returns the next event; [io.EOF] only at the proper end of the stream.
+// next returns the next event, or [io.EOF] at the proper end of the stream. The error is
+// [ErrEvents] when the stream ends within an event or an event is too large.
 func (e *eventReader) next() (event, error) {
-	var out event
+	var result event
 	for {
 		line, err := e.r.ReadBytes('\n')
-		out.block = append(out.block, line...)
-		if err == io.EOF && len(out.block) > 0 {
+		result.raw = append(result.raw, line...)
+		if err == io.EOF && len(result.raw) > 0 {
 			return event{}, ErrEvents.New("the stream ends within an event")
 		}
 		if err != nil {
 			return event{}, err
 		}
-		if len(out.block) > eventMost {
-			return event{}, ErrEvents.New("an event has over %d bytes", eventMost)
+		if len(result.raw) > maxEventBytes {
+			return event{}, ErrEvents.New("an event has over %d bytes", maxEventBytes)
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
-			return out, nil
+			return result, nil
 		}
 		if bytes.HasPrefix(text, idField) {
 			id, err := strconv.ParseUint(string(bytes.TrimSpace(text[len(idField):])), 10, 64)
-			out.id, out.numbered = id, err == nil
+			result.id, result.hasID = id, err == nil
 		}
 	}
 }
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -20,165 +20,174 @@
 	"github.com/agateway/agateway/gateway/upstream"
 )
 
-// Configuration is the configuration in force, with the age of the proof that it still is.
+// Configuration provides the configuration in force and how recently it was confirmed.
 type Configuration interface {
-	// Table returns the newest table; nil when none is known yet. age is how long ago it was known
-	// to be the newest.
+	// Table returns the newest table, or nil when none is known yet. age is the time since it was
+	// last confirmed to be the newest.
 	Table() (table *route.Table, age time.Duration)
 }
 
-// Log takes a line for each decision that touches a request.
+// Log records the decisions about requests.
 type Log interface {
-	// Decision logs what was decided about a request, and from which inputs.
-	Decision(request, what string, inputs logrus.Fields)
-	// Refusal logs why a request was not served.
-	Refusal(request, what string, inputs logrus.Fields)
+	// Decision logs a decision about a request and its inputs.
+	Decision(request, message string, inputs logrus.Fields)
+	// Refusal logs why a request was not served. An empty request id marks a failure that belongs
+	// to no request.
+	Refusal(request, message string, inputs logrus.Fields)
 }
 
-// Settings of forwarding. Durations from the deployment's bounds come with the settings file.
+// Settings configures a Forwarder. The durations come from the bounds in the settings file.
 type Settings struct {
-	// DataCentre is where this instance runs.
+	// DataCentre is the data centre of this instance.
 	DataCentre string
-	// KeyBound is how old the proof of the configuration may be for a request with a key: a key
-	// that was taken away must not be served longer.
-	KeyBound time.Duration
-	// DenyBound is how old the proof may be for a request to be denied for good (401, 404).
-	DenyBound time.Duration
-	// RetryShare and RetryReserve bound requests sent once more: a share of the requests, and a
-	// number that all instances share.
+	// MaxConfigAgeForKeys is the maximum age of the last confirmation of the configuration at which
+	// a request with a key is served. It bounds how long a revoked key is still accepted.
+	MaxConfigAgeForKeys time.Duration
+	// MaxConfigAgeForDenial is the maximum age of the last confirmation at which a request is
+	// denied permanently (401, 404).
+	MaxConfigAgeForDenial time.Duration
+	// RetryShare and RetryReserve bound the retries: a share of the requests plus a fixed number,
+	// both over all instances together.
 	RetryShare, RetryReserve float64
-	// RetryWindow is the time within which they are counted.
+	// RetryWindow is the time window in which requests and retries are counted. Zero means 10 s.
 	RetryWindow time.Duration
-	// SilenceFloor is the least silence of a stream that counts as the loss of its engine.
+	// SilenceFloor is the shortest silence of a stream after which its engine counts as lost.
 	SilenceFloor time.Duration
-	// FirstEvent is how long an engine may take for the first event before it is asked whether it
-	// is alive, and Probe how long it may take to answer.
-	FirstEvent, Probe time.Duration
-	// Connect bounds the time a connection to an endpoint may take.
-	Connect time.Duration
-	// Without switches mechanisms off.
-	Without Without
+	// FirstEventTimeout is how long an engine may take for the first event before it is probed, and
+	// ProbeTimeout is how long it may take to answer the probe.
+	FirstEventTimeout, ProbeTimeout time.Duration
+	// ConnectTimeout bounds the time to connect to an endpoint.
+	ConnectTimeout time.Duration
+	// Disabled lists the mechanisms that are switched off.
+	Disabled DisabledMechanisms
 }
 
-// Without names mechanisms that are switched off, to find out what each is worth; see the settings of the same names.
-type Without struct {
+// DisabledMechanisms selects mechanisms to switch off, so that the effect of each can be measured.
+// The settings have the same names.
+type DisabledMechanisms struct {
 	Copies, CopyElsewhere, Search, Health, Pace, SharedRetries, Line, FirstLook, Claims bool
 }
 
-// Others are the other instances, with which this one shares the endpoints.
-type Others interface {
-	// Instances returns how many instances are alive, and how many are known, this one included; connections and
-	// retries are shared among them.
+// Peers is the set of other instances, which share the endpoints with this one.
+type Peers interface {
+	// Instances returns the number of instances that are alive and the number that are known, both
+	// including this one. Connections and retries are divided among them.
 	Instances() (alive, known int)
-	// Changed makes the others learn soon that something has changed at endpoints.
+	// Changed announces soon to the other instances that the state of some endpoints has changed.
 	Changed(endpoints ...string)
-	// Freed does so where a request has ended or its prompt has been read: it is not as urgent.
+	// Freed is like Changed for a request that has ended or whose prompt has been prefilled. It is
+	// less urgent.
 	Freed(endpoints ...string)
-	// Repeated makes the others learn soon that something was sent once more, which counts against one bound for all.
+	// Repeated announces soon that a request was retried, since all instances share one retry
+	// bound.
 	Repeated()
-	// Ask brings what is known of some engines up to date before a prompt is placed at one of them.
+	// Ask refreshes what is known about some engines before a prompt is placed at one of them.
 	Ask(ctx context.Context, prompt uint64, endpoints []string)
-	// Claim asks for room at an engine right before a request is sent there, and returns whether it was granted.
+	// Claim asks for room at an engine right before a request is sent there, and returns whether it
+	// was granted.
 	Claim(ctx context.Context, endpoint string, c routing.Claim) bool
 }
 
-// alone is an instance without others.
-type alone struct{}
+// noPeers is the [Peers] of an instance that runs alone.
+type noPeers struct{}
 
-func (alone) Instances() (alive, known int)                     { return 1, 1 }
-func (alone) Changed(...string)                                 {}
-func (alone) Freed(...string)                                   {}
-func (alone) Repeated()                                         {}
-func (alone) Ask(context.Context, uint64, []string)             {}
-func (alone) Claim(context.Context, string, routing.Claim) bool { return true }
+func (noPeers) Instances() (alive, known int)                     { return 1, 1 }
+func (noPeers) Changed(...string)                                 {}
+func (noPeers) Freed(...string)                                   {}
+func (noPeers) Repeated()                                         {}
+func (noPeers) Ask(context.Context, uint64, []string)             {}
+func (noPeers) Claim(context.Context, string, routing.Claim) bool { return true }
 
-// Options of a forwarder.
+// Options holds the settings and dependencies of a Forwarder.
 type Options struct {
 	Settings      Settings
 	Configuration Configuration
-	// Known is closed once both a configuration and the list of endpoints were read for the first time.
-	Known     <-chan struct{}
+	// Synced is closed once a configuration and the list of endpoints have both been read.
+	Synced    <-chan struct{}
 	Placement *placement.Placement
 	Pool      *upstream.Pool
-	// Others are the other instances; nil for none.
-	Others Others
-	// Crashes is what is known of requests that end endpoints; nil for nothing.
+	// Peers is the set of other instances; nil means that there are none.
+	Peers Peers
+	// Crashes tracks the requests that crash endpoints; nil disables this.
 	Crashes Crashes
-	// Rollouts are the moves of services to other builds; nil for none.
+	// Rollouts selects builds while services move to another build; nil means no rollouts.
 	Rollouts Rollouts
-	// Clock also runs while the machine is suspended.
+	// Clock also advances while the machine is suspended.
 	Clock clock.Now
-	// Ended is called with the id of an endpoint whose address answered for another one.
-	Ended func(id ...string)
-	Log   Log
-	Scope tally.Scope
-	// Tracer makes a span for each request and for each hop to an endpoint.
+	// OnEndpointReplaced is called with the id of an endpoint whose address now belongs to another
+	// one.
+	OnEndpointReplaced func(id ...string)
+	Log                Log
+	Scope              tally.Scope
+	// Tracer creates a span for each request and for each send to an endpoint.
 	Tracer trace.Tracer
 }
 
 // Forwarder serves requests. It is safe for concurrent use.
 type Forwarder struct {
 	Options
-	budgets *budgets
-	judge   crashes.Judge
-	reads   reads
-	locator locator
-	lines   lines
-	// streamTimes is how long streams took of late.
-	streamTimes streamTimes
-	open        atomic.Int64
-	began       time.Time
-	// firstStream guards the histogram of the first stream placed.
-	firstStream sync.Once
-	metrics     metrics
+	retryBudgets    *retryBudgets
+	judge           crashes.Judge
+	promptLocations promptLocations
+	locator         promptLocator
+	waitQueues      waitQueues
+	// streamTimes holds how long recent streams took.
+	streamTimes  streamTimes
+	openRequests atomic.Int64
+	startedAt    time.Time
+	// firstStreamOnce ensures that only the first placed stream is recorded in its histogram.
+	firstStreamOnce sync.Once
+	metrics         metrics
 
 	drain atomic.Pointer[drain]
-	// ending ends when requests in progress have to, by end.
-	ending context.Context
-	end    context.CancelFunc
+	// shutdownCtx is cancelled by cancelRequests when requests in progress have to end.
+	shutdownCtx    context.Context
+	cancelRequests context.CancelFunc
 
 	sessionsMu sync.Mutex
 	sessions   map[*session]bool
 }
 
-// New returns a forwarder.
+// New returns a Forwarder. Nil Peers, Crashes and Rollouts are replaced by implementations that do
+// nothing.
 func New(o Options) *Forwarder {
 	if o.Settings.RetryWindow == 0 {
-		o.Settings.RetryWindow = leastWindow
+		o.Settings.RetryWindow = defaultRetryWindow
 	}
-	if o.Others == nil {
-		o.Others = alone{}
+	if o.Peers == nil {
+		o.Peers = noPeers{}
 	}
 	if o.Rollouts == nil {
 		o.Rollouts = noRollouts{}
 	}
-	held := o.Crashes
-	if held == nil {
+	crashRecords := o.Crashes
+	if crashRecords == nil {
 		o.Crashes = noCrashes{}
 	}
 	f := &Forwarder{
-		Options: o, began: time.Now(), budgets: newBudgets(&o.Settings, o.Clock), metrics: newMetrics(o.Scope), sessions: map[*session]bool{},
+		Options: o, startedAt: time.Now(), retryBudgets: newRetryBudgets(&o.Settings, o.Clock), metrics: newMetrics(o.Scope), sessions: map[*session]bool{},
 	}
-	f.ending, f.end = context.WithCancel(context.Background())
-	if held != nil {
-		f.judge = crashes.Judge{Ended: held.Ended, HasEnded: f.hasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.DataCentreFailures}
+	f.shutdownCtx, f.cancelRequests = context.WithCancel(context.Background())
+	if crashRecords != nil {
+		f.judge = crashes.Judge{Ended: crashRecords.Ended, HasEnded: f.processHasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.DataCentreFailures}
 	}
 	return f
 }
 
-// FirstLook records that both a configuration and the list of endpoints are known for the first time.
-func (f *Forwarder) FirstLook() { f.metrics.startKnown.RecordDuration(time.Since(f.began)) }
+// MarkSynced records the time from the start until a configuration and the list of endpoints were
+// both known. Call it once.
+func (f *Forwarder) MarkSynced() { f.metrics.startToSync.RecordDuration(time.Since(f.startedAt)) }
 
-// Open returns the number of requests in progress.
-func (f *Forwarder) Open() int { return int(f.open.Load()) }
+// OpenRequests returns the number of requests in progress.
+func (f *Forwarder) OpenRequests() int { return int(f.openRequests.Load()) }
 
 // ServeHTTP implements [http.Handler].
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.open.Add(1)
-	defer f.open.Add(-1)
-	arrived := time.Now()
-	f.awaitKnown(r.Context())
-	req, refused := f.accept(r, arrived)
+	f.openRequests.Add(1)
+	defer f.openRequests.Add(-1)
+	arrivedAt := time.Now()
+	f.awaitSync(r.Context())
+	req, refused := f.accept(r, arrivedAt)
 	if d := f.drain.Load(); d != nil {
 		w.Header().Set("Connection", "close")
 		if refused == nil {
@@ -193,15 +202,15 @@
 }
 
 func (f *Forwarder) serve(w http.ResponseWriter, r *http.Request, req *request) {
-	ctx, span := f.span(r.Context(), req)
+	ctx, span := f.startSpan(r.Context(), req)
 	defer span.End()
-	ctx, release := f.endable(ctx, w)
-	defer release()
+	ctx, stopShutdownWatch := f.withShutdown(ctx, w)
+	defer stopShutdownWatch()
 	if !req.deadline.IsZero() {
 		limited, cancel := context.WithDeadline(ctx, req.deadline)
 		defer cancel()
 		ctx = limited
-		_ = http.NewResponseController(w).SetWriteDeadline(req.deadline.Add(lateWrite))
+		_ = http.NewResponseController(w).SetWriteDeadline(req.deadline.Add(writeGrace))
 	}
 	if refused := req.readBody(w, r); refused != nil {
 		f.answerRefusal(w, req, refused)
@@ -212,7 +221,7 @@
 		f.answerRefusal(w, req, refused)
 		return
 	}
-	f.budgets.request(req.service)
+	f.retryBudgets.countRequest(req.service)
 	if req.route.Stream && req.route.RetryPolicy == route.Resumable && req.replayable {
 		f.serveSession(ctx, w, req)
 		return
@@ -220,8 +229,8 @@
 	f.servePlain(ctx, w, req)
 }
 
-// lateWrite is how long after a request's deadline its last bytes may still be written.
-const lateWrite = time.Second
+// writeGrace is how long after a request's deadline its last bytes may still be written.
+const writeGrace = time.Second
 
-// point returns a random number between 0 and 1.
-func point() float64 { return rand.Float64() }
+// randomFraction returns a random number in [0, 1).
+func randomFraction() float64 { return rand.Float64() }
--- /dev/null
+++ b/gateway/forward/identity.go
@@ -0,0 +1,26 @@
+package forward
+
+import (
+	"encoding/hex"
+	"strconv"
+
+	"github.com/agateway/agateway/core/crashers"
+)
+
+// identify sets the identity of a request: its team and a hash of its method, host, path with
+// query, and body. The same request sent again, to any instance, gets the same identity. For a body
+// that is not all in memory, the buffered part and the stated length count.
+func (req *request) identify() {
+	length := int64(len(req.body))
+	if !req.replayable {
+		length = req.contentLength
+	}
+	team := req.teamName()
+	req.identity = crashers.Request{Team: team, Content: crashers.ContentOf(
+		[]byte(team), []byte(req.httpRequest.Method), []byte(req.httpRequest.Host), []byte(req.httpRequest.RequestURI),
+		strconv.AppendInt(nil, length, 10), req.body,
+	)}
+}
+
+// contentText returns the content hash in hexadecimal for the log.
+func (req *request) contentText() string { return hex.EncodeToString(req.identity.Content[:]) }
--- a/gateway/forward/content_test.go
+++ b/gateway/forward/identity_test.go
@@ -11,18 +11,19 @@
 	"github.com/agateway/agateway/core/route"
 )
 
-// TestIdentity: what makes two requests the same, and what does not.
+// TestIdentity checks which parts of a request make up its identity. A request sent again with
+// another id or header keeps its identity, and different requests must not share one.
 func TestIdentity(t *testing.T) {
 	type parts struct {
 		team, method, host, target, body, id, prompt string
-		large                                        int64 // the stated length of a body that is not all in memory
+		large                                        int64 // stated length of a body that is not all in memory; -1 for chunks, 0 for a buffered body
 	}
-	of := func(p parts) crashers.Request {
+	identityOf := func(p parts) crashers.Request {
 		r, err := http.NewRequest(p.method, "http://x", nil)
 		assert.NilError(t, err)
 		r.Host, r.RequestURI = p.host, p.target
 		r.Header.Set("Prompt", p.prompt)
-		req := &request{http: r, body: []byte(p.body), replayable: p.large == 0, length: p.large}
+		req := &request{httpRequest: r, body: []byte(p.body), replayable: p.large == 0, contentLength: p.large}
 		req.ID = p.id
 		if p.team != "" {
 			req.team = &route.Team{Name: p.team}
@@ -30,9 +31,9 @@
 		req.identify()
 		return req.identity
 	}
-	one := parts{team: "desk", method: http.MethodPost, host: "a.example", target: "/brief/1?x=1", body: "case", id: "1"}
+	base := parts{team: "desk", method: http.MethodPost, host: "a.example", target: "/brief/1?x=1", body: "case", id: "1"}
 	change := func(f func(*parts)) parts {
-		p := one
+		p := base
 		f(&p)
 		return p
 	}
@@ -40,9 +41,9 @@
 		"another id":     change(func(p *parts) { p.id = "2" }),
 		"another header": change(func(p *parts) { p.prompt = "b1" }),
 	} {
-		assert.Equal(t, of(p), of(one), name)
+		assert.Equal(t, identityOf(p), identityOf(base), name)
 	}
-	seen := map[crashers.Content]string{of(one).Content: "one"}
+	seen := map[crashers.Content]string{identityOf(base).Content: "one"}
 	for name, p := range map[string]parts{
 		"another team":                  change(func(p *parts) { p.team = "field" }),
 		"no team":                       change(func(p *parts) { p.team = "" }),
@@ -53,12 +54,12 @@
 		"another body":                  change(func(p *parts) { p.body = "cases" }),
 		"no body":                       change(func(p *parts) { p.body = "" }),
 		"a part that moved":             change(func(p *parts) { p.host, p.target = "a.example/", "brief/1?x=1" }),
-		"a long body":                   change(func(p *parts) { p.body, p.large = strings.Repeat("x", bodyKept), 1<<20 }),
-		"a longer one with that start":  change(func(p *parts) { p.body, p.large = strings.Repeat("x", bodyKept), 2<<20 }),
-		"one in chunks with that start": change(func(p *parts) { p.body, p.large = strings.Repeat("x", bodyKept), -1 }),
-		"a long one with another start": change(func(p *parts) { p.body, p.large = strings.Repeat("y", bodyKept), 1<<20 }),
+		"a long body":                   change(func(p *parts) { p.body, p.large = strings.Repeat("x", maxBufferedBody), 1<<20 }),
+		"a longer one with that start":  change(func(p *parts) { p.body, p.large = strings.Repeat("x", maxBufferedBody), 2<<20 }),
+		"one in chunks with that start": change(func(p *parts) { p.body, p.large = strings.Repeat("x", maxBufferedBody), -1 }),
+		"a long one with another start": change(func(p *parts) { p.body, p.large = strings.Repeat("y", maxBufferedBody), 1<<20 }),
 	} {
-		c := of(p).Content
+		c := identityOf(p).Content
 		assert.Equal(t, seen[c], "", name)
 		seen[c] = name
 	}
--- a/gateway/forward/locate.go
+++ b/gateway/forward/locate.go
@@ -12,49 +12,51 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Looking for the engine that has read a prompt, for a caller who goes on with a stream that no instance
-// remembers, such as after all of them lost power. Reading 8,000 tokens again takes a second of an
-// engine's time; asking some engines takes some milliseconds of each. Instances place a prompt among the engines that
-// rank highest for it, so those are asked, however many there are: 90 instances that ask 180 engines each would make
-// 16,200 calls.
+// When a caller resumes a stream that no instance remembers, for example after all instances lost
+// power, the engine that holds its prompt has to be found. Prefilling 8,000 tokens again takes a
+// second of an engine's time; querying some engines takes some milliseconds of each. Instances
+// place a prompt among the engines that rank highest for it, so only those are queried, however
+// many there are: 90 instances that query 180 engines each would make 16,200 calls.
 const (
-	// locateTimeout bounds the search: beyond it, reading again is the smaller loss.
+	// locateTimeout bounds the search. Beyond it, prefilling again costs less.
 	locateTimeout = 80 * time.Millisecond
-	// locateKept is how long an answer is used: callers come back together, and one question serves many.
-	locateKept = 700 * time.Millisecond
-	// locateMost is how many engines are asked for a prompt: those among which it was placed, and two for engines that
-	// have come or gone since.
-	locateMost = 8
-	// locateLeast is the prompt, in tokens, from which a search pays.
-	locateLeast = 2000
+	// heldPromptsTTL is how long an answer is reused. Callers reconnect at the same time, so one
+	// query serves many of them.
+	heldPromptsTTL = 700 * time.Millisecond
+	// maxLocateEngines is how many engines are queried for a prompt: the six among which it was
+	// placed, and two in case engines have come or gone since.
+	maxLocateEngines = 8
+	// minLocateTokens is the length of the shortest prompt that is searched for.
+	minLocateTokens = 2000
 )
 
-// locator remembers which engines were asked of late. The zero value is ready; it is safe for concurrent use.
-type locator struct {
-	mu    sync.Mutex
-	asked map[string]*question
+// promptLocator remembers recent queries of engines. The zero value is ready to use. It is safe for
+// concurrent use.
+type promptLocator struct {
+	mu      sync.Mutex
+	queries map[string]*heldPromptsQuery
 }
 
-// question is one engine's list of what it keeps, asked for at a time.
-type question struct {
+// heldPromptsQuery is a query of one engine for the prompts that it holds.
+type heldPromptsQuery struct {
 	at   time.Time
 	done chan struct{}
 }
 
-// locate finds out which engines keep the prompt of a request, unless that is known. It returns as soon as one that does
-// has answered.
-func (f *Forwarder) locate(ctx context.Context, req *request) {
+// locatePrompt finds out which engines hold the prompt of a request, unless one is already known.
+// It returns when the first such engine or all engines have answered, or after locateTimeout.
+func (f *Forwarder) locatePrompt(ctx context.Context, req *request) {
 	key := req.promptKey()
-	if f.Settings.Without.Search || key == 0 || req.PromptTokens < locateLeast || f.Placement.HoldsPrompt(key) {
+	if f.Settings.Disabled.Search || key == 0 || req.PromptTokens < minLocateTokens || f.Placement.HoldsPrompt(key) {
 		return
 	}
-	engines := f.Placement.Likely(f.engineRequest(req), locateMost)
-	began := time.Now()
+	engines := f.Placement.Likely(f.engineRequest(req), maxLocateEngines)
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	answers := make(chan struct{}, len(engines))
 	for i := range engines {
-		q := f.question(&engines[i])
+		q := f.queryHeldPrompts(&engines[i])
 		go func() {
 			select {
 			case <-q.done:
@@ -68,51 +70,53 @@
 		<-answers
 		found = f.Placement.HoldsPrompt(key)
 	}
-	took := time.Since(began)
-	f.metrics.search.RecordDuration(took)
-	f.Log.Decision(req.ID, "prompt looked for", logrus.Fields{"engines": len(engines), "found": found, "took_ms": took.Milliseconds()})
+	elapsed := time.Since(startedAt)
+	f.metrics.promptSearch.RecordDuration(elapsed)
+	f.Log.Decision(req.ID, "prompt searched", logrus.Fields{"engines": len(engines), "found": found, "took_ms": elapsed.Milliseconds()})
 }
 
-// question asks an engine which prompts it keeps, unless it was asked a short while ago.
-func (f *Forwarder) question(e *routing.Endpoint) *question {
+// queryHeldPrompts asks an engine which prompts it holds, or returns the last query if it is
+// recent.
+func (f *Forwarder) queryHeldPrompts(e *routing.Endpoint) *heldPromptsQuery {
 	f.locator.mu.Lock()
 	defer f.locator.mu.Unlock()
 	now := time.Now()
-	if q := f.locator.asked[e.ID]; q != nil && now.Sub(q.at) < locateKept {
+	if q := f.locator.queries[e.ID]; q != nil && now.Sub(q.at) < heldPromptsTTL {
 		return q
 	}
-	if f.locator.asked == nil {
-		f.locator.asked = map[string]*question{}
+	if f.locator.queries == nil {
+		f.locator.queries = map[string]*heldPromptsQuery{}
 	}
-	for id, q := range f.locator.asked {
-		if now.Sub(q.at) >= locateKept {
-			delete(f.locator.asked, id)
+	for id, q := range f.locator.queries {
+		if now.Sub(q.at) >= heldPromptsTTL {
+			delete(f.locator.queries, id)
 		}
 	}
-	q := &question{at: now, done: make(chan struct{})}
-	f.locator.asked[e.ID] = q
+	q := &heldPromptsQuery{at: now, done: make(chan struct{})}
+	f.locator.queries[e.ID] = q
 	go func() {
 		defer close(q.done)
-		// Others wait for the answer too, so it does not end with the request that asked first.
+		// Other requests wait for the answer too, so it does not end with the request that asked
+		// first.
 		ctx, cancel := context.WithTimeout(context.Background(), locateTimeout)
 		defer cancel()
-		raw, err := f.ask(ctx, e, http.MethodGet, platform.HeldPath, nil)
+		raw, err := f.callEngine(ctx, e, http.MethodGet, platform.HeldPath, nil)
 		if err != nil {
-			return // one that does not answer in time is not worth going to
+			return // an engine that does not answer in time is no candidate
 		}
-		f.takeHeld(e.ID, raw)
+		f.recordHeldPrompts(e.ID, raw)
 	}()
 	return q
 }
 
-func (f *Forwarder) takeHeld(id string, raw []byte) {
-	parts, err := platform.DecodeHeld(raw)
+func (f *Forwarder) recordHeldPrompts(id string, raw []byte) {
+	prompts, err := platform.DecodeHeld(raw)
 	if err != nil {
-		f.Log.Refusal("", "list of prompts can't be read", logrus.Fields{"endpoint": id, "error": err.Error()})
+		f.Log.Refusal("", "malformed list of prompts", logrus.Fields{"endpoint": id, "error": err.Error()})
 		return
 	}
-	for _, p := range parts {
-		if p.Tokens >= locateLeast {
+	for _, p := range prompts {
+		if p.Tokens >= minLocateTokens {
 			f.Placement.RecordCachedPrompt(id, p.ID)
 		}
 	}
--- a/gateway/forward/metrics.go
+++ b/gateway/forward/metrics.go
@@ -7,19 +7,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the counters and histograms of forwarding.
+// metrics holds the counters and histograms of forwarding.
 type metrics struct {
-	scope                              tally.Scope
-	accepted, answered, retries        tally.Counter
-	repeatsRefused                     tally.Counter
-	silences, moved, movedByCopy       tally.Counter
-	recovered, brokenOff, callerLeft   tally.Counter
-	stoppedRefused                     tally.Counter
-	claimsRefused                      tally.Counter
-	firstEvent, plainAnswer, eventMove tally.Histogram
-	// The parts of a return: from the start of the process to the first look at the store and to the first stream
-	// placed, the search for a prompt, and from the arrival of a caller who goes on with a stream to its next event.
-	startKnown, startPlaced, search, callerWentOn tally.Histogram
+	scope                               tally.Scope
+	accepted, answered, retries         tally.Counter
+	retriesDenied                       tally.Counter
+	silences, moved, movedByCopy        tally.Counter
+	recovered, brokenOff, callersLeft   tally.Counter
+	stoppedRefused                      tally.Counter
+	claimsRefused                       tally.Counter
+	firstEvent, plainAnswer, streamMove tally.Histogram
+	// Parts of the recovery after a restart: from the start of the process to the first read of the
+	// store and to the first placed stream, the search for a prompt, and from the arrival of a
+	// caller that resumes a stream to its next event.
+	startToSync, startToFirstStream, promptSearch, callerResumed tally.Histogram
 }
 
 func newMetrics(s tally.Scope) metrics {
@@ -30,18 +31,18 @@
 	}
 	return metrics{
 		scope: s, accepted: s.Counter("requests_accepted_total"), answered: s.Counter("requests_answered_total"),
-		retries: s.Counter("requests_sent_again_total"), repeatsRefused: s.Counter("requests_not_sent_again_total"), silences: s.Counter("streams_silent_total"),
+		retries: s.Counter("requests_sent_again_total"), retriesDenied: s.Counter("requests_not_sent_again_total"), silences: s.Counter("streams_silent_total"),
 		moved: s.Counter("streams_moved_total"), movedByCopy: s.Counter("streams_moved_to_copy_total"),
 		recovered: s.Counter("streams_recovered_total"), brokenOff: s.Counter("streams_broken_off_total"),
-		callerLeft: s.Counter("callers_left_total"), stoppedRefused: s.Counter("stopped_requests_refused_total"),
+		callersLeft: s.Counter("callers_left_total"), stoppedRefused: s.Counter("stopped_requests_refused_total"),
 		claimsRefused: s.Counter("claims_refused_total"),
 		firstEvent:    s.Histogram("first_event_seconds", latency), plainAnswer: s.Histogram("plain_answer_seconds", latency),
-		eventMove:  s.Histogram("stream_move_seconds", latency),
-		startKnown: s.Histogram("start_to_known_seconds", latency), startPlaced: s.Histogram("start_to_first_stream_seconds", latency),
-		search: s.Histogram("prompt_search_seconds", latency), callerWentOn: s.Histogram("caller_went_on_seconds", latency),
+		streamMove:  s.Histogram("stream_move_seconds", latency),
+		startToSync: s.Histogram("start_to_known_seconds", latency), startToFirstStream: s.Histogram("start_to_first_stream_seconds", latency),
+		promptSearch: s.Histogram("prompt_search_seconds", latency), callerResumed: s.Histogram("caller_went_on_seconds", latency),
 	}
 }
 
-func (m *metrics) refused(status int) {
+func (m *metrics) countRefusal(status int) {
 	m.scope.Tagged(map[string]string{"status": strconv.Itoa(status)}).Counter("requests_refused_total").Inc(1)
 }
--- a/gateway/forward/outcome.go
+++ b/gateway/forward/outcome.go
@@ -12,23 +12,24 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Errors of this layer.
+// Errors of forwarding.
 var (
 	namespace = errorx.NewNamespace("forward")
-	// ErrRefused: the endpoint said that it has not run the request.
+	// ErrRefused means that an endpoint has not run a request, or that an engine answered a
+	// management call with an error status.
 	ErrRefused = namespace.NewType("refused")
-	// ErrEngine: an engine ran the request and failed it.
+	// ErrEngine means that an engine ran the request and answered with an error.
 	ErrEngine = namespace.NewType("engine_failed")
-	// ErrBudget: the instances together have sent as much once more as they may.
+	// ErrBudget means that the instances together have used up the retry budget.
 	ErrBudget = namespace.NewType("retry_budget", errorx.Temporary())
-	// ErrEvents: a stream is not one of events.
+	// ErrEvents means that an answer is not a valid stream of events.
 	ErrEvents = namespace.NewType("malformed_events")
 )
 
-// connect takes a connection to an endpoint. An endpoint that can't be connected to is left out for a
-// while.
+// connect takes a connection to an endpoint. An endpoint that can't be connected to is avoided for
+// a while.
 func (f *Forwarder) connect(ctx context.Context, req *request, e *routing.Endpoint) (*upstream.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.Settings.Connect)
+	ctx, cancel := context.WithTimeout(ctx, f.Settings.ConnectTimeout)
 	defer cancel()
 	conn, err := f.Pool.Get(ctx, f.target(req, e))
 	if err != nil && !errorx.IsOfType(err, upstream.ErrBusy) {
@@ -37,37 +38,37 @@
 	return conn, err
 }
 
-// learn takes what an answer says of its endpoint.
-func (f *Forwarder) learn(id string, a *platform.Answer) {
+// recordLoad records the load that an answer reports for its endpoint.
+func (f *Forwarder) recordLoad(id string, a *platform.Answer) {
 	if a.HasLoad {
 		f.Placement.RecordLoad(id, a.Load.Running, a.Load.Waiting)
 	}
 }
 
-// refusedBy records that an endpoint did not run a request. An address that answers for another
-// endpoint belongs to that one now.
-func (f *Forwarder) refusedBy(e *routing.Endpoint, status int) error {
+// recordRefusal records that an endpoint refused a request, and returns the error to log. With
+// status 421 the address belongs to another endpoint now.
+func (f *Forwarder) recordRefusal(e *routing.Endpoint, status int) error {
 	if status == http.StatusMisdirectedRequest {
 		f.Placement.Ended(e.ID)
-		f.Ended(e.ID)
-		f.Others.Changed(e.ID) // the others should not try it too
+		f.OnEndpointReplaced(e.ID)
+		f.Peers.Changed(e.ID) // so that they do not try it too
 	} else {
 		f.Placement.Refused(e.ID)
 	}
 	return ErrRefused.New("endpoint %s refused with status %d", e.ID, status)
 }
 
-// logTry logs how one try ended.
-func (f *Forwarder) logTry(req *request, e *routing.Endpoint, how outcome, a *answer, err error) {
+// logAttempt logs the result of sending a plain request to an endpoint.
+func (f *Forwarder) logAttempt(req *request, e *routing.Endpoint, result outcome, a *answer, err error) {
 	inputs := logrus.Fields{"endpoint": e.ID, "route": req.route.Name, "configuration": req.table.Version()}
 	if e.Build != "" {
 		inputs["build"] = e.Build
 	}
-	switch how {
-	case answered:
+	switch result {
+	case outcomeAnswered:
 		inputs["status"] = a.status
 		f.Log.Decision(req.ID, "answered", inputs)
-	case notRun:
+	case outcomeNotRun:
 		inputs["error"] = errorText(err)
 		f.Log.Decision(req.ID, "not run", inputs)
 	default:
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -19,35 +19,35 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// plain is one request that gets one answer from one endpoint.
+// plain is a request that gets one answer from one endpoint.
 type plain struct {
-	f    *Forwarder
-	req  *request
-	w    http.ResponseWriter
-	runs int // endpoints on which it may have run
-	sent int // endpoints to which it was sent
-	// avoid names endpoints that failed it.
+	f            *Forwarder
+	req          *request
+	w            http.ResponseWriter
+	possibleRuns int // endpoints on which it may have run
+	sends        int // endpoints to which it was sent
+	// avoid holds the ids of endpoints that failed the request.
 	avoid []string
-	// last is an endpoint's own failure, passed on when no other endpoint does better.
-	last *answer
+	// lastFailure is an endpoint's own error answer, delivered when no other endpoint does better.
+	lastFailure *answer
 }
 
-// answer is an endpoint's whole answer, or its head with the beginning of the body.
+// answer is an endpoint's whole answer, or its head and the beginning of its body.
 type answer struct {
-	status int
-	header http.Header
-	body   []byte
-	rest   *upstream.Exchange // what is not read yet; nil when the answer is whole
-	loss   crashes.Loss       // what it would be if the rest were lost
+	status        int
+	header        http.Header
+	body          []byte
+	unread        *upstream.Exchange // remainder of the body; nil when the answer is whole
+	potentialLoss crashes.Loss       // the loss to report if the remainder were lost
 }
 
-// outcome is how one try ended.
+// outcome is the result of sending a request to an endpoint.
 type outcome int
 
 const (
-	answered outcome = iota
-	notRun           // certainly
-	unknown          // it may have run
+	outcomeAnswered outcome = iota
+	outcomeNotRun           // it has certainly not run
+	outcomeUnknown          // it may have run
 )
 
 func (f *Forwarder) servePlain(ctx context.Context, w http.ResponseWriter, req *request) {
@@ -58,127 +58,129 @@
 		return
 	}
 	f.metrics.answered.Inc(1)
-	f.metrics.plainAnswer.RecordDuration(time.Since(req.arrived))
+	f.metrics.plainAnswer.RecordDuration(time.Since(req.arrivedAt))
 }
 
 // run sends the request until it is answered or must not be sent again.
 func (p *plain) run(ctx context.Context) *refusal {
 	for {
-		if p.over(ctx) {
-			return p.ended(ctx, notRun)
+		if p.timeIsUp(ctx) {
+			return p.refuseExpired(ctx, outcomeNotRun)
 		}
-		if refused := p.f.stillAllowed(p.req); refused != nil {
-			return p.final(refused)
+		if refused := p.f.revalidate(p.req); refused != nil {
+			return p.finish(refused)
 		}
-		if refused := p.mayTry(ctx); refused != nil {
-			return p.final(refused)
+		if refused := p.awaitAdmission(ctx); refused != nil {
+			return p.finish(refused)
 		}
 		e, refused := p.pick(ctx)
 		if refused != nil {
-			p.tried()
-			return p.final(refused)
+			p.endCrashTrial()
+			return p.finish(refused)
 		}
-		hop, span := p.f.hop(ctx, e)
-		a, how, err := p.try(hop, e)
+		hop, span := p.f.startHop(ctx, e)
+		reply, result, err := p.send(hop, e)
 		endHop(span, err)
-		p.f.logTry(p.req, e, how, a, err)
-		if how == answered && a.rest == nil {
-			p.f.Crashes.Served(p.req.identity) // also where the endpoint failed it: it is still there
+		p.f.logAttempt(p.req, e, result, reply, err)
+		if result == outcomeAnswered && reply.unread == nil {
+			p.f.Crashes.Served(p.req.identity) // also for a 5xx answer: the endpoint has survived the request
 		}
-		p.tried()
-		if how == answered && !p.worthAnother(a) {
-			p.deliver(a)
+		p.endCrashTrial()
+		if result == outcomeAnswered && !p.retryMayHelp(reply) {
+			p.deliver(reply)
 			return nil
 		}
-		if p.over(ctx) {
-			return p.ended(ctx, how)
+		if p.timeIsUp(ctx) {
+			return p.refuseExpired(ctx, result)
 		}
-		if how == answered {
-			p.last = a
+		if result == outcomeAnswered {
+			p.lastFailure = reply
 		}
-		if !p.mayGoOn(how) {
-			return p.final(nil)
+		if !p.mayRetry(result) {
+			return p.finish(nil)
 		}
 		p.avoid = append(p.avoid, e.ID)
-		p.req.draw = atBaseline
+		p.req.rolloutDraw = baselineDraw
 	}
 }
 
-// over tells whether the caller's time is over, or the caller left. Connections end at the deadline, at
-// times a little before the context does.
-func (p *plain) over(ctx context.Context) bool {
+// timeIsUp reports whether the deadline has passed or the caller has left. Connections end at the
+// deadline, sometimes slightly before the context does.
+func (p *plain) timeIsUp(ctx context.Context) bool {
 	return ctx.Err() != nil || !p.req.deadline.IsZero() && !time.Now().Before(p.req.deadline)
 }
 
-// worthAnother tells whether another endpoint may answer better: an idempotent request that its
-// endpoint failed. A 4xx is the endpoint's word on the request itself.
-func (p *plain) worthAnother(a *answer) bool {
-	return a.status >= http.StatusInternalServerError && a.rest == nil && p.req.route.RetryPolicy == route.Idempotent && p.runs < p.req.route.MaxAttempts
+// retryMayHelp reports whether another endpoint may give a better answer: the route is idempotent
+// and the endpoint answered with a 5xx. A 4xx is about the request itself, so it is final.
+func (p *plain) retryMayHelp(a *answer) bool {
+	return a.status >= http.StatusInternalServerError && a.unread == nil && p.req.route.RetryPolicy == route.Idempotent && p.possibleRuns < p.req.route.MaxAttempts
 }
 
-// mayGoOn tells whether the request may be sent to another endpoint.
-func (p *plain) mayGoOn(how outcome) bool {
+// mayRetry reports whether the request may be sent to another endpoint, and counts the retry.
+func (p *plain) mayRetry(result outcome) bool {
 	if !p.req.replayable {
 		return false
 	}
-	if how != notRun && (p.req.route.RetryPolicy == route.AtMostOnce || p.req.route.Stream || p.runs >= p.req.route.MaxAttempts) {
+	if result != outcomeNotRun && (p.req.route.RetryPolicy == route.AtMostOnce || p.req.route.Stream || p.possibleRuns >= p.req.route.MaxAttempts) {
 		return false
 	}
-	// What could not be connected to has not arrived anywhere, so the next send is no repetition.
-	return p.sent == 0 || p.f.mayRepeat(p.req.service, false)
+	// A failed connection has delivered nothing, so the next send is no retry.
+	return p.sends == 0 || p.f.takeRetry(p.req.service, false)
 }
 
-// final ends a request that goes nowhere else: with an endpoint's own failure if there is one, else
-// with a refusal that says whether it may have run.
-func (p *plain) final(refused *refusal) *refusal {
-	if p.last != nil {
-		p.deliver(p.last)
+// finish ends a request that is not sent again. It delivers an endpoint's own error answer if there
+// is one, or else returns a refusal that says whether the request may have run.
+func (p *plain) finish(refused *refusal) *refusal {
+	if p.lastFailure != nil {
+		p.deliver(p.lastFailure)
 		return nil
 	}
-	if p.runs > 0 {
+	if p.possibleRuns > 0 {
 		return refuse(http.StatusBadGateway, "the endpoint was lost with the request", 0)
 	}
 	if refused == nil {
-		refused = refuse(http.StatusServiceUnavailable, "no endpoint took the request", whenRoom(0))
+		refused = refuse(http.StatusServiceUnavailable, "no endpoint took the request", retryWhenRoom(0))
 	}
 	return refused
 }
 
-// ended tells a caller whose time is over, or who left, what became of the request.
-func (p *plain) ended(ctx context.Context, how outcome) *refusal {
+// refuseExpired returns the refusal of a request whose time is up or whose caller has left. It says
+// whether the request may have run.
+func (p *plain) refuseExpired(ctx context.Context, result outcome) *refusal {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		p.f.metrics.callerLeft.Inc(1)
+		p.f.metrics.callersLeft.Inc(1)
 	}
-	mayHaveRun := how == unknown || p.runs > 0
+	mayHaveRun := result == outcomeUnknown || p.possibleRuns > 0
 	switch {
-	case isEnding(ctx) && mayHaveRun:
-		return refuse(http.StatusBadGateway, whyEnding, 0)
-	case isEnding(ctx):
-		return refuse(http.StatusServiceUnavailable, whyEnding, soon())
+	case isShutdown(ctx) && mayHaveRun:
+		return refuse(http.StatusBadGateway, reasonShutdown, 0)
+	case isShutdown(ctx):
+		return refuse(http.StatusServiceUnavailable, reasonShutdown, retrySoon())
 	case mayHaveRun:
 		return refuse(http.StatusGatewayTimeout, "no answer in time", 0)
 	}
-	return refuse(http.StatusServiceUnavailable, "no room in time", whenRoom(0))
+	return refuse(http.StatusServiceUnavailable, "no room in time", retryWhenRoom(0))
 }
 
-// Waiting for an endpoint with room: looked for again each waitStep, for a part of the aim at the
-// most, since an answer after that is late anyway and other callers queue behind.
+// Limits of the wait for an endpoint with room, which is checked every roomWaitInterval. The wait is
+// bounded by maxRoomWait and by the target latency divided by roomWaitDivisor: a later answer is
+// late anyway, and other callers queue behind it.
 const (
-	waitStep  = 10 * time.Millisecond
-	waitParts = 2
-	waitMost  = time.Second
+	roomWaitInterval = 10 * time.Millisecond
+	roomWaitDivisor  = 2
+	maxRoomWait      = time.Second
 )
 
 // waitUntil returns until when the request may wait for an endpoint.
 func (p *plain) waitUntil() time.Time {
-	most := waitMost
-	if aim := p.req.route.TargetLatency; aim > 0 {
-		most = min(most, aim/waitParts)
+	maxWait := maxRoomWait
+	if targetLatency := p.req.route.TargetLatency; targetLatency > 0 {
+		maxWait = min(maxWait, targetLatency/roomWaitDivisor)
 	}
-	return p.req.arrived.Add(most)
+	return p.req.arrivedAt.Add(maxWait)
 }
 
-// pick chooses an endpoint, and waits for a short while when all are full.
+// pick chooses an endpoint, and waits briefly when all are full.
 func (p *plain) pick(ctx context.Context) (*routing.Endpoint, *refusal) {
 	for until := p.waitUntil(); ; {
 		d, err := p.f.Placement.Pick(&routing.Request{
@@ -188,148 +190,151 @@
 		if err == nil {
 			return &d.Endpoint, nil
 		}
-		if len(p.avoid) > 0 && errors.Is(err, routing.ErrNone) || !time.Now().Add(waitStep).Before(until) {
-			return nil, refuse(http.StatusServiceUnavailable, err.Error(), whenRoom(0))
+		if len(p.avoid) > 0 && errors.Is(err, routing.ErrNone) || !time.Now().Add(roomWaitInterval).Before(until) {
+			return nil, refuse(http.StatusServiceUnavailable, err.Error(), retryWhenRoom(0))
 		}
-		if !pause.For(ctx, waitStep) {
-			return nil, refuse(http.StatusServiceUnavailable, "no room in time", whenRoom(0))
+		if !pause.For(ctx, roomWaitInterval) {
+			return nil, refuse(http.StatusServiceUnavailable, "no room in time", retryWhenRoom(0))
 		}
 	}
 }
 
-// plainWeights ranks endpoints of plain services: by load, a little by distance, and by how much of what they get
-// they fail. One that fails four in ten gets work when the others hold 1.4 times their slots more.
+// plainWeights ranks endpoints of plain services by load, by their failure rate, and slightly by
+// distance. An endpoint that fails four requests in ten gets work only when the load of the others
+// is higher by 1.4 times their slots.
 func (s *Settings) plainWeights() routing.Weights {
-	return s.without(routing.Weights{Load: 1, Remote: 0.1, Health: 4})
+	return s.applyDisabled(routing.Weights{Load: 1, Remote: 0.1, Health: 4})
 }
 
-// try sends the request to one endpoint.
-func (p *plain) try(ctx context.Context, e *routing.Endpoint) (*answer, outcome, error) {
+// send sends the request to one endpoint and reads its answer.
+func (p *plain) send(ctx context.Context, e *routing.Endpoint) (*answer, outcome, error) {
 	f, req := p.f, p.req
 	conn, err := f.connect(ctx, req, e)
 	if err != nil {
-		return nil, notRun, err
+		return nil, outcomeNotRun, err
 	}
-	p.sent++
-	p.runs++
-	l := req.loss(e)
-	l.SentAt, l.Reused = time.Now(), conn.Reused()
-	t := f.Rollouts.Begin(req.route.Name, e)
-	t.Left(true)
-	defer t.Left(false)
+	p.sends++
+	p.possibleRuns++
+	loss := req.loss(e)
+	loss.SentAt, loss.Reused = time.Now(), conn.Reused()
+	trial := f.Rollouts.Begin(req.route.Name, e)
+	trial.Left(true)
+	defer trial.Left(false)
 	f.Placement.Sent(e.ID, routing.Placed{})
 	defer f.Placement.Finished(e.ID, routing.Placed{})
-	x, err := conn.Do(ctx, req.outgoing(&platform.Send{
-		Endpoint: e.CalledBy(), Left: req.left(time.Now()), Team: req.teamName(), Rank: -1,
-	}), req.mine)
+	x, err := conn.Do(ctx, req.upstreamRequest(&platform.Send{
+		Endpoint: e.CalledBy(), Left: req.timeLeft(time.Now()), Team: req.teamName(), Rank: -1,
+	}), req.ownsAnswer)
 	if err != nil {
-		return nil, p.lost(ctx, l, t, err), err
+		return nil, p.classifyLoss(ctx, loss, trial, err), err
 	}
-	l.HeadAt = time.Now()
-	told := platform.ReadAnswer(x.Status(), x.Header())
-	f.learn(e.ID, &told)
-	if told.NotRun {
-		p.runs--
+	loss.HeadAt = time.Now()
+	signals := platform.ReadAnswer(x.Status(), x.Header())
+	f.recordLoad(e.ID, &signals)
+	if signals.NotRun {
+		p.possibleRuns--
 		x.Abort()
-		return nil, notRun, f.refusedBy(e, x.Status())
+		return nil, outcomeNotRun, f.recordRefusal(e, x.Status())
 	}
-	if !told.Signed && x.Status() < http.StatusMultipleChoices {
+	if !signals.Signed && x.Status() < http.StatusMultipleChoices {
 		x.Abort()
-		t.Failed()
+		trial.Failed()
 		f.Placement.RecordOutcome(e.ID, false)
-		return nil, unknown, errUnsigned
+		return nil, outcomeUnknown, errUnsigned
 	}
 	a, err := p.receive(x)
 	if a != nil {
-		a.loss = l
+		a.potentialLoss = loss
 	}
 	if err != nil {
-		return nil, p.lost(ctx, l, t, err), err
+		return nil, p.classifyLoss(ctx, loss, trial, err), err
 	}
 	f.Placement.Succeeded(e.ID)
 	good := a.status < http.StatusInternalServerError
 	f.Placement.RecordOutcome(e.ID, good)
 	if good {
-		t.Answered(time.Since(l.SentAt))
+		trial.Answered(time.Since(loss.SentAt))
 	} else {
-		t.Failed()
+		trial.Failed()
 	}
-	return a, answered, nil
+	return a, outcomeAnswered, nil
 }
 
 var errUnsigned = errors.New("the answer is not signed by an endpoint")
 
-// lost classifies a request whose answer did not arrive.
-func (p *plain) lost(ctx context.Context, l crashes.Loss, t *rollouts.Trial, err error) outcome {
+// classifyLoss classifies a request whose answer did not arrive.
+func (p *plain) classifyLoss(ctx context.Context, loss crashes.Loss, trial *rollouts.Trial, err error) outcome {
 	if errorx.IsOfType(err, upstream.ErrNotSent) {
-		p.runs--
-		return notRun
+		p.possibleRuns--
+		return outcomeNotRun
 	}
-	if !errors.Is(ctx.Err(), context.Canceled) { // the endpoint's doing, not the caller's
-		p.f.Placement.Lost(l.Endpoint)
-		p.f.Placement.RecordOutcome(l.Endpoint, false)
-		t.Lost()
-		t.Late(time.Since(l.SentAt))
+	if !errors.Is(ctx.Err(), context.Canceled) { // the endpoint is at fault, not the caller
+		p.f.Placement.Lost(loss.Endpoint)
+		p.f.Placement.RecordOutcome(loss.Endpoint, false)
+		trial.Lost()
+		trial.Late(time.Since(loss.SentAt))
 	}
 	if ctx.Err() == nil {
-		p.f.judge.Blame(ctx, &p.req.losses, l)
+		p.f.judge.Blame(ctx, &p.req.losses, loss)
 	}
-	return unknown
+	return outcomeUnknown
 }
 
-// answerKept is how much of an answer is read before it is passed on: an answer that breaks off
-// within it can be had from another endpoint instead.
-const answerKept = 64 << 10
+// maxBufferedAnswer is how many bytes of an answer are read before it is delivered. An answer that
+// breaks off within them can be requested from another endpoint instead.
+const maxBufferedAnswer = 64 << 10
 
-// receive reads an answer as far as it is kept.
+// receive reads up to maxBufferedAnswer bytes of an answer. The answer to a streaming route is not
+// buffered.
 func (p *plain) receive(x *upstream.Exchange) (*answer, error) {
 	a := &answer{status: x.Status(), header: x.Header()}
 	if p.req.route.Stream {
-		a.rest = x
+		a.unread = x
 		return a, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(x, answerKept))
+	body, err := io.ReadAll(io.LimitReader(x, maxBufferedAnswer))
 	if err != nil {
 		x.Abort()
 		return nil, err
 	}
 	a.body = body
-	if len(body) < answerKept {
+	if len(body) < maxBufferedAnswer {
 		x.Finish()
 		return a, nil
 	}
-	a.rest = x
+	a.unread = x
 	return a, nil
 }
 
-// deliver passes an answer on. One that breaks off on the way ends with a closed connection.
+// deliver writes an answer to the caller. If the answer breaks off on the way, it panics with
+// [http.ErrAbortHandler] to close the connection.
 func (p *plain) deliver(a *answer) {
 	copyHeader(p.w.Header(), platform.ToClient(a.header))
 	p.w.WriteHeader(a.status)
-	if _, err := p.w.Write(a.body); err != nil && a.rest != nil {
-		a.rest.Abort()
+	if _, err := p.w.Write(a.body); err != nil && a.unread != nil {
+		a.unread.Abort()
 		panic(http.ErrAbortHandler)
 	}
-	if a.rest == nil {
+	if a.unread == nil {
 		return
 	}
-	if n, err := relay(p.w, a.rest); err != nil {
-		a.rest.Abort()
+	if n, err := relayBody(p.w, a.unread); err != nil {
+		a.unread.Abort()
 		if n > 0 {
-			a.loss.EventAt = a.loss.HeadAt
+			a.potentialLoss.EventAt = a.potentialLoss.HeadAt
 		}
-		if ctx := p.req.http.Context(); ctx.Err() == nil {
-			p.f.judge.Blame(ctx, &p.req.losses, a.loss)
+		if ctx := p.req.httpRequest.Context(); ctx.Err() == nil {
+			p.f.judge.Blame(ctx, &p.req.losses, a.potentialLoss)
 		}
 		p.f.Log.Refusal(p.req.ID, "answer broke off", logrus.Fields{"error": err.Error()})
 		panic(http.ErrAbortHandler)
 	}
 	p.f.Crashes.Served(p.req.identity)
-	a.rest.Finish()
+	a.unread.Finish()
 }
 
-// relay copies a body piece by piece, each at once. It returns how much of it came.
-func relay(w http.ResponseWriter, from io.Reader) (int, error) {
+// relayBody copies a body and flushes after each read. It returns the number of bytes read.
+func relayBody(w http.ResponseWriter, from io.Reader) (int, error) {
 	control := http.NewResponseController(w)
 	buf := make([]byte, 8<<10)
 	for total := 0; ; {
@@ -357,6 +362,6 @@
 		to[k] = v
 	}
 	if to.Get("Content-Type") == "" {
-		to["Content-Type"] = nil // nothing is guessed from the body
+		to["Content-Type"] = nil // stops net/http from sniffing a type from the body
 	}
 }
--- a/gateway/forward/probe.go
+++ b/gateway/forward/probe.go
@@ -15,52 +15,53 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// probe asks an engine on a new connection whether it still has the request: the open one may have
-// gone silent while the engine works, or the engine may be gone.
+// probe asks an engine on a new connection whether it still has the request. The open connection
+// may be silent while the engine works, or the engine may be gone.
 func (s *session) probe(p generation.Probe) {
 	a := s.attempts[p.Attempt]
 	if a == nil {
 		s.machine.Probed(time.Now(), p.Attempt, false, 0)
 		return
 	}
-	countable := s.relayed == 0 && s.req.LastEvent == ""
+	countEvents := s.relayedEvents == 0 && s.req.LastEvent == ""
 	go func() {
-		ctx, cancel := context.WithTimeout(s.ctx, s.f.Settings.Probe)
+		ctx, cancel := context.WithTimeout(s.ctx, s.f.Settings.ProbeTimeout)
 		defer cancel()
-		report, err := s.f.report(ctx, a)
+		report, err := s.f.fetchReport(ctx, a)
 		m := message{kind: attemptProbed}
 		if err == nil {
-			m.alive, m.events = s.f.stillHas(&a.endpoint, &report, s.req.ID, countable)
+			m.alive, m.events = s.f.mayStillHave(&a.endpoint, &report, s.req.ID, countEvents)
 		}
 		placed := s.f.Placement.PlacedAt(a.endpoint.ID)
-		s.f.Log.Decision(s.req.ID, "engine asked", logrus.Fields{
+		s.f.Log.Decision(s.req.ID, "engine probed", logrus.Fields{
 			"endpoint": a.endpoint.ID, "alive": m.alive, "events": m.events, "error": errorText(err),
 			"running": report.Running, "waiting": report.Waiting, "used": report.Used, "placed": placed.Open, "placed_tokens": placed.Tokens,
 			"unread": placed.Unread,
 		})
-		a.tell(s.ctx, m)
+		a.report(s.ctx, m)
 	}()
 }
 
-// stillHas tells whether an engine may still have a request. One that started again since it was listed knows nothing of
-// before, and what was believed of it is forgotten.
-func (f *Forwarder) stillHas(e *routing.Endpoint, r *platform.Report, id string, countable bool) (bool, int) {
+// mayStillHave reports whether an engine may still have a request, and how many events it has made
+// for it. An engine that restarted since it was listed has lost the request, and what was known
+// about the engine is dropped.
+func (f *Forwarder) mayStillHave(e *routing.Endpoint, r *platform.Report, id string, countEvents bool) (bool, int) {
 	if e.Born != 0 && r.Born > e.Born {
 		f.Placement.Forget(e.ID)
 		return false, 0
 	}
-	return holds(r, id, countable)
+	return reportMayHold(r, id, countEvents)
 }
 
-// holds tells whether a request may be among those that a report speaks of, and how many events the
-// engine has made for it. A request is named from its first event on; before that it is one of those
-// that wait or run without a name.
-func holds(r *platform.Report, id string, countable bool) (bool, int) {
+// reportMayHold reports whether a request may be among those that a report lists, and how many
+// events the engine has made for it; 0 unless countEvents is set. An engine lists a request by id
+// from its first event on. Before that the request is one of those that wait or run without an id.
+func reportMayHold(r *platform.Report, id string, countEvents bool) (bool, int) {
 	for _, run := range r.Runs {
 		if run.ID != id {
 			continue
 		}
-		if countable {
+		if countEvents {
 			return true, run.Events
 		}
 		return true, 0
@@ -68,17 +69,18 @@
 	return r.Waiting > 0 || r.Running > len(r.Runs), 0
 }
 
-// report reads an engine's state.
-func (f *Forwarder) report(ctx context.Context, a *attempt) (platform.Report, error) {
-	raw, err := f.ask(ctx, &a.endpoint, http.MethodGet, platform.ReportPath, nil)
+// fetchReport fetches an engine's status report.
+func (f *Forwarder) fetchReport(ctx context.Context, a *attempt) (platform.Report, error) {
+	raw, err := f.callEngine(ctx, &a.endpoint, http.MethodGet, platform.ReportPath, nil)
 	if err != nil {
 		return platform.Report{}, err
 	}
 	return platform.DecodeReport(raw)
 }
 
-// ask calls an engine on a connection of its own, and returns the body of its answer.
-func (f *Forwarder) ask(ctx context.Context, e *routing.Endpoint, method, path string, body []byte) ([]byte, error) {
+// callEngine sends a management call to an engine on a new connection, and returns the body of the
+// answer. It returns [ErrRefused] for a status of 300 or above.
+func (f *Forwarder) callEngine(ctx context.Context, e *routing.Endpoint, method, path string, body []byte) ([]byte, error) {
 	conn, err := f.Pool.Dial(ctx, upstream.Target{ID: e.ID, Address: e.Address})
 	if err != nil {
 		return nil, err
@@ -93,7 +95,7 @@
 		return nil, err
 	}
 	defer x.Abort()
-	raw, err := io.ReadAll(io.LimitReader(x, answerKept))
+	raw, err := io.ReadAll(io.LimitReader(x, maxBufferedAnswer))
 	if err != nil {
 		return nil, err
 	}
--- a/gateway/forward/progress.go
+++ b/gateway/forward/progress.go
@@ -10,90 +10,90 @@
 	"github.com/agateway/agateway/core/generation"
 )
 
-// take hands what an attempt reported to the machine.
-func (s *session) take(m message) {
+// handle processes a message and passes it on to the state machine.
+func (s *session) handle(m message) {
 	now := time.Now()
 	switch m.kind {
 	case attemptSent:
 		s.machine.Acked(now, m.attempt, generation.Stream{Endpoint: m.endpoint, ID: m.endpoint}, 0, 0, 0)
 		if a := s.attempts[m.attempt]; a != nil {
 			a.sent = true
-			s.expect(now, a)
+			s.delayProbe(now, a)
 		}
 	case attemptEvent:
-		s.event(now, m)
+		s.handleEvent(now, m)
 	case attemptDone:
 		j := s.machine.Journal()
 		s.machine.Done(now, m.attempt, j.Len(), j.Hash(), "")
 	case attemptFailed:
-		s.failed(now, m)
+		s.handleFailure(now, m)
 	case attemptProbed:
-		s.reading(m)
+		s.recordPrefillProgress(m)
 		s.machine.Probed(now, m.attempt, m.alive, m.events)
 	case attemptCopied:
-		s.copied(now, m)
-	case sessionStopped:
-		if _, left := s.f.Crashes.Verdict(s.req.identity, s.req.service); s.relayed == 0 { // a stream that runs does no harm
-			s.machine.Stop(now, left)
+		s.handleCopyResult(now, m)
+	case requestStopped:
+		if _, stoppedFor := s.f.Crashes.Verdict(s.req.identity, s.req.service); s.relayedEvents == 0 { // a stream with events has not crashed its engine
+			s.machine.Stop(now, stoppedFor)
 		}
 	}
 }
 
-// lateBy times as long as usual is when a prompt is read late: three of four engines take less, also where another prompt is
-// read beside it.
-const lateBy = 1.25
+// A prompt counts as late after latePrefillFactor times the usual prefill time. Three of four
+// engines take less, even when they prefill another prompt at the same time.
+const latePrefillFactor = 1.25
 
-// aimParts: at most one part in so many of the route's aim is waited before an engine is asked, so that a prompt whose engine
-// says nothing can be read elsewhere in time.
-const aimParts = 3
+// An engine is probed after the route's target latency divided by probeDelayDivisor at the latest,
+// so that the prompt of a silent engine can be prefilled elsewhere in time.
+const probeDelayDivisor = 3
 
-// expect spares an engine that reads a long prompt the question whether it is alive, until it is late. Each question takes a
-// new connection.
-func (s *session) expect(now time.Time, a *attempt) {
-	if usual, known := s.f.Placement.ExpectedPrefillTime(s.req.service, a.reading); known {
-		late := time.Duration(lateBy * float64(usual))
-		s.machine.Expect(a.number, now.Add(min(late, s.req.route.TargetLatency/aimParts)))
+// delayProbe delays the probe of an engine that prefills a long prompt until the prompt is late.
+// Each probe takes a new connection.
+func (s *session) delayProbe(now time.Time, a *attempt) {
+	if expected, known := s.f.Placement.ExpectedPrefillTime(s.req.service, a.prefillTokens); known {
+		late := time.Duration(latePrefillFactor * float64(expected))
+		s.machine.Expect(a.number, now.Add(min(late, s.req.route.TargetLatency/probeDelayDivisor)))
 	}
 }
 
-// reading records that an engine which is alive has not read the prompt yet.
-func (s *session) reading(m message) {
-	if a := s.attempts[m.attempt]; m.alive && a != nil && !a.began && a.reading > 0 {
-		s.f.Placement.RecordPrefillProgress(a.endpoint.ID, a.reading, time.Since(a.sentAt))
+// recordPrefillProgress records that an engine is alive and has not prefilled the prompt yet.
+func (s *session) recordPrefillProgress(m message) {
+	if a := s.attempts[m.attempt]; m.alive && a != nil && !a.hasEvent && a.prefillTokens > 0 {
+		s.f.Placement.RecordPrefillProgress(a.endpoint.ID, a.prefillTokens, time.Since(a.sentAt))
 	}
 }
 
-// event passes an event on if it is the next one of the current attempt.
-func (s *session) event(now time.Time, m message) {
-	if !m.numbered {
+// handleEvent relays an event if it is the next one of the current attempt.
+func (s *session) handleEvent(now time.Time, m message) {
+	if !m.hasID {
 		s.machine.Alive(now, m.attempt)
 		return
 	}
 	a := s.attempts[m.attempt]
 	if a != nil {
-		a.events++
-		a.read()
-		a.paceEvents(now)
+		a.eventCount++
+		a.recordPrefilled()
+		a.recordEventGap(now)
 	}
-	if !s.numbered && a == s.current() { // of an attempt that was given up, the first event may be lost
-		s.first, s.numbered = m.id, true
+	if !s.firstIDKnown && a == s.currentAttempt() { // the first event of an attempt that was given up may be lost
+		s.firstID, s.firstIDKnown = m.id, true
 	}
-	if !s.numbered {
+	if !s.firstIDKnown {
 		return
 	}
-	index := int(int64(m.id - s.first))
+	index := int(int64(m.id - s.firstID))
 	if !s.machine.Token(now, m.attempt, index, nil) {
 		return
 	}
-	if s.relayed == 0 {
-		s.begin(a)
+	if s.relayedEvents == 0 {
+		s.writeHead(a)
 	}
-	s.wentOn(now, m)
-	s.paced(now)
-	s.relayed++
-	s.servedSoFar(now)
-	s.lastEvent = strconv.FormatUint(m.id, 10)
-	if _, err := s.w.Write(m.block); err != nil {
+	s.recordResume(now, m)
+	s.recordEventTime(now)
+	s.relayedEvents++
+	s.recordServingTime(now)
+	s.lastEventID = strconv.FormatUint(m.id, 10)
+	if _, err := s.w.Write(m.raw); err != nil {
 		s.machine.Abort(now)
 		return
 	}
@@ -102,21 +102,21 @@
 	}
 }
 
-// paced records the pause before an event.
-func (s *session) paced(now time.Time) {
-	if s.relayed == 0 {
-		s.firstAfter, s.firstAt = now.Sub(s.req.arrived), now
+// recordEventTime records when an event arrived and the gap before it.
+func (s *session) recordEventTime(now time.Time) {
+	if s.relayedEvents == 0 {
+		s.firstEventLatency, s.firstEventAt = now.Sub(s.req.arrivedAt), now
 	} else {
-		s.longest = max(s.longest, now.Sub(s.lastAt))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastEventAt))
 	}
-	s.lastAt = now
+	s.lastEventAt = now
 }
 
-// begin sends the head of the answer, that of the engine whose event is first.
-func (s *session) begin(a *attempt) {
-	s.f.metrics.firstEvent.RecordDuration(time.Since(s.req.arrived))
+// writeHead sends the head of the answer, taken from the engine whose event is first.
+func (s *session) writeHead(a *attempt) {
+	s.f.metrics.firstEvent.RecordDuration(time.Since(s.req.arrivedAt))
 	if s.req.LastEvent != "" {
-		s.f.metrics.callerWentOn.RecordDuration(time.Since(s.req.arrived))
+		s.f.metrics.callerResumed.RecordDuration(time.Since(s.req.arrivedAt))
 	}
 	if a != nil && a.header != nil {
 		copyHeader(s.w.Header(), a.header)
@@ -124,43 +124,43 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// wentOn records that a stream whose engine was lost goes on.
-func (s *session) wentOn(now time.Time, m message) {
+// recordResume records that a stream whose engine was lost has resumed.
+func (s *session) recordResume(now time.Time, m message) {
 	if s.lostAt.IsZero() {
 		return
 	}
-	pause := now.Sub(s.lastAt)
+	gap := now.Sub(s.lastEventAt)
 	s.lostAt = time.Time{}
 	s.f.metrics.recovered.Inc(1)
-	s.f.metrics.eventMove.RecordDuration(pause)
-	s.f.Log.Decision(s.req.ID, "went on", logrus.Fields{"endpoint": m.endpoint, "event": m.id, "pause_ms": pause.Milliseconds()})
+	s.f.metrics.streamMove.RecordDuration(gap)
+	s.f.Log.Decision(s.req.ID, "stream resumed", logrus.Fields{"endpoint": m.endpoint, "event": m.id, "pause_ms": gap.Milliseconds()})
 }
 
-// failed takes the end of an attempt that brought no whole answer.
-func (s *session) failed(now time.Time, m message) {
+// handleFailure handles the end of an attempt that gave no complete answer.
+func (s *session) handleFailure(now time.Time, m message) {
 	if s.machine.GaveUp(m.attempt) {
 		return
 	}
 	if m.answer != nil {
-		s.last = m.answer
+		s.lastFailure = m.answer
 	}
 	a := s.attempts[m.attempt]
 	if a != nil {
-		a.over, a.refused = true, m.failure == generation.Refused
+		a.ended, a.refused = true, m.failure == generation.Refused
 	}
 	switch {
 	case m.failure == generation.Refused:
-		s.dropCopy() // the run did not begin, so there is nothing to copy
+		s.dropCopy() // the run did not start, so there is nothing to copy
 	case m.failure == generation.NoEndpoint && a != nil:
-		s.restoreCopy(a.from) // it was not sent
+		s.restoreCopy(a.resumeFrom) // it was not sent
 	}
-	s.lost(now)
-	s.tried()
+	s.markLost(now)
+	s.endCrashTrial()
 	inputs := logrus.Fields{
-		"attempt": m.attempt, "endpoint": m.endpoint, "error": errorText(m.err), "not_run": m.failure == generation.Refused, "events": s.relayed,
+		"attempt": m.attempt, "endpoint": m.endpoint, "error": errorText(m.err), "not_run": m.failure == generation.Refused, "events": s.relayedEvents,
 	}
 	if a != nil && m.failure == generation.Broken {
-		inputs["content"], inputs["after_ms"], inputs["its_events"] = s.req.contentText(), now.Sub(a.sentAt).Milliseconds(), a.events
+		inputs["content"], inputs["after_ms"], inputs["its_events"] = s.req.contentText(), now.Sub(a.sentAt).Milliseconds(), a.eventCount
 		if !m.headAt.IsZero() {
 			inputs["answering_ms"] = now.Sub(m.headAt).Milliseconds()
 		}
@@ -169,8 +169,8 @@
 	s.machine.Failed(now, m.attempt, m.failure, 0)
 }
 
-func (s *session) lost(now time.Time) {
-	if s.relayed > 0 && s.lostAt.IsZero() {
+func (s *session) markLost(now time.Time) {
+	if s.relayedEvents > 0 && s.lostAt.IsZero() {
 		s.lostAt = now
 	}
 }
@@ -181,12 +181,12 @@
 	if a == nil {
 		return
 	}
-	if !s.machine.Ended() && !a.over {
-		s.lost(time.Now())
+	if !s.machine.Ended() && !a.ended {
+		s.markLost(time.Now())
 		s.f.metrics.silences.Inc(1)
-		a.countLost()
-		a.silent.Store(true)
-		s.f.Log.Decision(s.req.ID, "engine given up", logrus.Fields{"attempt": number, "endpoint": a.endpoint.ID, "events": s.relayed})
+		a.recordLoss()
+		a.gaveUpOnSilence.Store(true)
+		s.f.Log.Decision(s.req.ID, "engine given up", logrus.Fields{"attempt": number, "endpoint": a.endpoint.ID, "events": s.relayedEvents})
 	}
 	a.cancel()
 }
--- a/gateway/forward/rollouts.go
+++ b/gateway/forward/rollouts.go
@@ -10,21 +10,26 @@
 	"github.com/agateway/agateway/gateway/rollouts"
 )
 
-// Rollouts says which builds of endpoints may serve requests, while a service moves from one to another.
+// Rollouts decides which builds of endpoints may serve requests while a service moves from one
+// build to another.
 type Rollouts interface {
-	// Builds returns the builds that may serve a request of a route. draw is drawn once a request; 1 keeps it at the baseline.
+	// Builds returns the builds that may serve a request of a route. draw is a random number below
+	// 1, drawn once per request; 1 selects the baseline build.
 	Builds(service, route string, draw float64) routing.Builds
-	// CopyBuilds returns the builds whose endpoints may keep a copy of a request's memory.
+	// CopyBuilds returns the builds whose endpoints may hold a copy of a request's memory.
 	CopyBuilds(service string) routing.Builds
-	// ResumeWait returns how long a stream waits that an endpoint has broken off before it goes on elsewhere.
+	// ResumeWait returns how long a stream that an endpoint has broken off waits before it resumes
+	// elsewhere.
 	ResumeWait(e *routing.Endpoint) time.Duration
-	// RolledBack tells whether a request has to leave an endpoint.
+	// RolledBack reports whether requests have to leave an endpoint because its build was rolled
+	// back.
 	RolledBack(e *routing.Endpoint) bool
-	// Begin counts a request that is sent to an endpoint; nil where nothing is to be counted.
+	// Begin starts counting a request that is sent to an endpoint. It returns nil when nothing has
+	// to be counted.
 	Begin(route string, e *routing.Endpoint) *rollouts.Trial
 }
 
-// noRollouts moves nothing.
+// noRollouts is the [Rollouts] of an instance without rollouts.
 type noRollouts struct{}
 
 func (noRollouts) Builds(string, string, float64) routing.Builds   { return routing.Builds{} }
@@ -33,75 +38,78 @@
 func (noRollouts) RolledBack(*routing.Endpoint) bool               { return false }
 func (noRollouts) Begin(string, *routing.Endpoint) *rollouts.Trial { return nil }
 
-// atBaseline is the draw of a retry: whatever lost the request, the build in service is the safer one.
-const atBaseline = 1
+// baselineDraw is the draw for retries. Whatever lost the request, the baseline build is the safer
+// one.
+const baselineDraw = 1
 
 // builds returns the builds that may serve a request now.
 func (f *Forwarder) builds(req *request) routing.Builds {
-	return f.Rollouts.Builds(req.service, req.route.Name, req.draw)
+	return f.Rollouts.Builds(req.service, req.route.Name, req.rolloutDraw)
 }
 
-// Times of a stream that are counted for a comparison of builds.
+// Measurements of a stream for comparing builds.
 const (
-	// thousand prompt tokens are the unit of the time to the first event.
-	thousand = 1000
-	// gapEvents is over how many events the time between two is taken.
-	gapEvents = 8
-	// slowTimes as long as usual is when a first event counts as slow before it has come.
-	slowTimes = 3.5
+	// prefillUnitTokens is the number of prompt tokens to which the time to the first event is
+	// normalised.
+	prefillUnitTokens = 1000
+	// gapSampleEvents is the number of gaps between events that are averaged.
+	gapSampleEvents = 8
+	// A pending first event counts as slow after slowPrefillFactor times the usual time.
+	slowPrefillFactor = 3.5
 )
 
-// readTime returns the time to the first event for each thousand prompt tokens that the engine had to read; 0 where it had to read
-// less.
-func (a *attempt) readTime(now time.Time) time.Duration {
-	if a.reading < thousand {
+// prefillTimePerUnit returns the time to the first event per prefillUnitTokens prompt tokens that
+// the engine had to prefill; 0 when it had to prefill fewer.
+func (a *attempt) prefillTimePerUnit(now time.Time) time.Duration {
+	if a.prefillTokens < prefillUnitTokens {
 		return 0
 	}
-	return now.Sub(a.sentAt) * thousand / time.Duration(a.reading)
+	return now.Sub(a.sentAt) * prefillUnitTokens / time.Duration(a.prefillTokens)
 }
 
-// paceEvents counts the time between events.
-func (a *attempt) paceEvents(now time.Time) {
-	switch a.events {
+// recordEventGap records the average gap over the first gapSampleEvents gaps between events.
+func (a *attempt) recordEventGap(now time.Time) {
+	switch a.eventCount {
 	case 1:
-		a.firstAt = now
-	case gapEvents + 1:
-		a.trial.Gap(now.Sub(a.firstAt) / gapEvents)
+		a.firstEventAt = now
+	case gapSampleEvents + 1:
+		a.rolloutTrial.Gap(now.Sub(a.firstEventAt) / gapSampleEvents)
 	}
 }
 
-// overdue counts a first event that takes very long.
-func (s *session) overdue(now time.Time) {
-	a := s.current()
-	if a == nil || a.began || a.over || a.trial == nil || a.reading < thousand {
+// recordSlowFirstEvent records that the first event is slow, while it has not arrived yet.
+func (s *session) recordSlowFirstEvent(now time.Time) {
+	a := s.currentAttempt()
+	if a == nil || a.hasEvent || a.ended || a.rolloutTrial == nil || a.prefillTokens < prefillUnitTokens {
 		return
 	}
-	usual, known := s.f.Placement.ExpectedPrefillTime(s.req.service, a.reading)
-	if known && now.Sub(a.sentAt) >= time.Duration(slowTimes*float64(usual)) {
-		a.trial.Late(a.readTime(now))
+	expected, known := s.f.Placement.ExpectedPrefillTime(s.req.service, a.prefillTokens)
+	if known && now.Sub(a.sentAt) >= time.Duration(slowPrefillFactor*float64(expected)) {
+		a.rolloutTrial.Late(a.prefillTimePerUnit(now))
 	}
 }
 
-// followRollout moves a stream off an engine whose build was rolled back, and its copy to an engine that stays.
+// followRollout moves a stream off an engine whose build was rolled back, and has its copy moved to
+// a build that stays.
 func (s *session) followRollout(now time.Time) {
-	a := s.current()
-	if a == nil || a.over {
+	a := s.currentAttempt()
+	if a == nil || a.ended {
 		return
 	}
 	h, copied := s.copies.Holder()
 	if e, known := s.f.Placement.Get(h.Endpoint); copied && known {
 		if builds := s.f.Rollouts.CopyBuilds(s.req.service); !builds.Allow(&e) {
 			s.copies.Move(now)
-			s.account("")
+			s.accountCopy("")
 			copied = false
 		}
 	}
-	a.trial.Left(a.began && !copied)
-	if s.f.Rollouts.RolledBack(&a.endpoint) && copied && a.began {
-		s.f.Log.Decision(s.req.ID, "build rolled back", logrus.Fields{"attempt": a.number, "endpoint": a.endpoint.ID, "events": s.relayed})
-		a.over = true
+	a.rolloutTrial.Left(a.hasEvent && !copied)
+	if s.f.Rollouts.RolledBack(&a.endpoint) && copied && a.hasEvent {
+		s.f.Log.Decision(s.req.ID, "build rolled back", logrus.Fields{"attempt": a.number, "endpoint": a.endpoint.ID, "events": s.relayedEvents})
+		a.ended = true
 		a.cancel()
-		s.lost(now)
+		s.markLost(now)
 		s.machine.Failed(now, a.number, generation.Gone, 0)
 	}
 }
--- a/gateway/forward/target.go
+++ b/gateway/forward/target.go
@@ -9,38 +9,38 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// target returns how an endpoint is connected to. Its connections are shared by all instances: it resets what goes beyond
-// its bound.
+// target returns how to connect to an endpoint. All instances share the endpoint's connections: it
+// resets those beyond its limit.
 func (f *Forwarder) target(req *request, e *routing.Endpoint) upstream.Target {
 	t := upstream.Target{ID: e.ID, Address: e.Address}
 	if s := req.table.Service(e.Service); s != nil && s.MaxConnections > 0 {
-		_, known := f.Others.Instances()
+		_, known := f.Peers.Instances()
 		t.Connections = limits.Connections(s.MaxConnections, known)
 	}
 	return t
 }
 
-// outgoing builds the request as it goes to an endpoint.
-func (req *request) outgoing(s *platform.Send) *upstream.Request {
-	r := req.http
+// upstreamRequest builds the request that is sent to an endpoint.
+func (req *request) upstreamRequest(s *platform.Send) *upstream.Request {
+	r := req.httpRequest
 	return &upstream.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host,
 		Header: platform.ToEndpoint(r.Header, req.ID, s),
-		Body:   req.bodyReader(), Length: req.sentLength(),
+		Body:   req.bodyReader(), Length: req.upstreamLength(),
 	}
 }
 
-// sentLength returns the length that goes with the body; -1 to send it in chunks.
-func (req *request) sentLength() int64 {
+// upstreamLength returns the length of the body that is sent; -1 sends it in chunks.
+func (req *request) upstreamLength() int64 {
 	if req.replayable {
 		return int64(len(req.body))
 	}
-	return req.length
+	return req.contentLength
 }
 
-// mine tells whether an answer belongs to a request. An endpoint that refuses may do so before it has
-// looked at the id.
-func (req *request) mine(status int, h http.Header) bool {
+// ownsAnswer reports whether an answer belongs to a request. An endpoint may refuse a request
+// before it has read the id.
+func (req *request) ownsAnswer(status int, h http.Header) bool {
 	a := platform.ReadAnswer(status, h)
 	if a.ID == "" {
 		return a.NotRun || !a.Signed && status >= http.StatusBadRequest
--- a/gateway/forward/trace_test.go
+++ b/gateway/forward/trace_test.go
@@ -17,16 +17,16 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// TestSpans: a span for the request in the caller's trace, and one below it for each send.
+// TestSpans checks that a request gets a span in the caller's trace, and each send a child span.
 func TestSpans(t *testing.T) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	out := tracetest.NewInMemoryExporter()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(out))
-	f := New(Options{Log: quietLog{}, Scope: tally.NoopScope, Tracer: provider.Tracer("t"), Clock: func() time.Duration { return 0 }})
+	f := New(Options{Log: discardLog{}, Scope: tally.NoopScope, Tracer: provider.Tracer("t"), Clock: func() time.Duration { return 0 }})
 	r := httptest.NewRequest("POST", "/a", nil)
 	r.Header.Set("traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
-	ctx, span := f.span(context.Background(), &request{http: r, route: &route.Route{Name: "r"}})
-	_, hop := f.hop(ctx, &routing.Endpoint{ID: "e1"})
+	ctx, span := f.startSpan(context.Background(), &request{httpRequest: r, route: &route.Route{Name: "r"}})
+	_, hop := f.startHop(ctx, &routing.Endpoint{ID: "e1"})
 	endHop(hop, ErrEngine.New("failed"))
 	span.End()
 	spans := out.GetSpans()
--- /dev/null
+++ b/gateway/forward/waitqueue.go
@@ -0,0 +1,182 @@
+package forward
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/agateway/agateway/core/limits"
+	"github.com/agateway/agateway/core/routing"
+	"github.com/agateway/agateway/gateway/pause"
+)
+
+// waitQueues holds the queue of requests that wait for an engine, by service. The zero value is
+// empty. It is safe for concurrent use.
+type waitQueues struct {
+	mu        sync.Mutex
+	byService map[string]*limits.Line
+	lastID    atomic.Uint64
+}
+
+func (l *waitQueues) get(service string) *limits.Line {
+	if l.byService == nil {
+		l.byService = map[string]*limits.Line{}
+	}
+	queue := l.byService[service]
+	if queue == nil {
+		queue = &limits.Line{}
+		l.byService[service] = queue
+	}
+	return queue
+}
+
+// Limits of the wait for an engine with room.
+const (
+	// engineWaitInterval is how often the first request of a queue looks for room.
+	engineWaitInterval = 20 * time.Millisecond
+	// A request may wait for engineWaitNumerator/engineWaitDenominator of the route's target
+	// latency. The rest is left for prefilling the prompt.
+	engineWaitNumerator   = 1
+	engineWaitDenominator = 2
+	// defaultEngineWait is the longest wait on a route without a target latency.
+	defaultEngineWait = 2 * time.Second
+)
+
+// awaitEngine waits until an engine has room for a stream, in the order of priority and arrival. A
+// stream that is not expected to find room in time is refused immediately and told when room is
+// expected.
+func (f *Forwarder) awaitEngine(ctx context.Context, req *request) *refusal {
+	if f.Settings.Disabled.Line {
+		return nil
+	}
+	latest := req.arrivedAt.Add(defaultEngineWait)
+	if targetLatency := req.route.TargetLatency; targetLatency > 0 {
+		latest = req.arrivedAt.Add(targetLatency * engineWaitNumerator / engineWaitDenominator)
+	}
+	id := f.waitQueues.lastID.Add(1)
+	if mayWait, expected := f.joinQueue(req, id, latest); !mayWait {
+		return f.refuseNoRoom(req, "no room is expected in time", expected)
+	}
+	defer f.leaveQueue(req, id)
+	for {
+		if f.isFirstInQueue(req, id) {
+			f.queryOwners(ctx, req)
+			if f.claimForFirst(ctx, req) {
+				return nil
+			}
+		}
+		if !time.Now().Add(engineWaitInterval).Before(latest) {
+			return f.refuseNoRoom(req, "no room in time", f.expectedWait(req))
+		}
+		if !pause.For(ctx, engineWaitInterval) {
+			return f.refuseNoRoom(req, waitEndReason(ctx), 0)
+		}
+		if refused := f.revalidate(req); refused != nil {
+			return refused
+		}
+	}
+}
+
+// Limits of queries to the owners of engines.
+const (
+	// ownerAnswerTTL is how long the owners' answers are reused for a request that still waits or
+	// is retried.
+	ownerAnswerTTL = 100 * time.Millisecond
+	// maxEnginesPerQuery is how many engines one query covers: the six that a choice compares, and
+	// some more for the copy, which is placed in another data centre than the first choice.
+	maxEnginesPerQuery = 10
+)
+
+// queryOwners refreshes what is known about the engines among which a request will be placed. Each
+// further query of a request covers the next group of engines, then starts over.
+func (f *Forwarder) queryOwners(ctx context.Context, req *request) {
+	now := time.Now()
+	if now.Sub(req.ownersQueriedAt) < ownerAnswerTTL {
+		return
+	}
+	req.ownersQueriedAt = now
+	engines := f.Placement.Likely(f.engineRequest(req), maxEnginesPerQuery*(req.ownerQueries+1))
+	if first := maxEnginesPerQuery * req.ownerQueries; first < len(engines) {
+		engines = engines[first:]
+	} else {
+		req.ownerQueries = 0
+		engines = engines[:min(len(engines), maxEnginesPerQuery)]
+	}
+	req.ownerQueries++
+	ids := make([]string, len(engines))
+	for i := range engines {
+		ids[i] = engines[i].ID
+	}
+	f.Peers.Ask(ctx, req.promptKey(), ids)
+}
+
+func (f *Forwarder) joinQueue(req *request, id uint64, latest time.Time) (bool, time.Duration) {
+	f.waitQueues.mu.Lock()
+	defer f.waitQueues.mu.Unlock()
+	return f.waitQueues.get(req.service).Join(time.Now(), id, req.priority, latest)
+}
+
+func (f *Forwarder) leaveQueue(req *request, id uint64) {
+	f.waitQueues.mu.Lock()
+	defer f.waitQueues.mu.Unlock()
+	f.waitQueues.get(req.service).Leave(id)
+}
+
+// lackedRoom reports whether streams of a service recently found no room.
+func (f *Forwarder) lackedRoom(service string) bool {
+	f.waitQueues.mu.Lock()
+	defer f.waitQueues.mu.Unlock()
+	return f.waitQueues.get(service).Short(time.Now())
+}
+
+func (f *Forwarder) expectedWait(req *request) time.Duration {
+	f.waitQueues.mu.Lock()
+	defer f.waitQueues.mu.Unlock()
+	return f.waitQueues.get(req.service).Expected(time.Now())
+}
+
+// isFirstInQueue reports whether a request is the next one to be placed.
+func (f *Forwarder) isFirstInQueue(req *request, id uint64) bool {
+	f.waitQueues.mu.Lock()
+	defer f.waitQueues.mu.Unlock()
+	return f.waitQueues.get(req.service).First(id)
+}
+
+// claimForFirst claims an engine for the first request of a queue. It returns false when all
+// engines are full, and true when an engine was claimed or when the choice failed for another
+// reason.
+func (f *Forwarder) claimForFirst(ctx context.Context, req *request) bool {
+	d, err := f.claimEngine(ctx, f.engineRequest(req))
+	f.waitQueues.mu.Lock()
+	defer f.waitQueues.mu.Unlock()
+	queue := f.waitQueues.get(req.service)
+	if errors.Is(err, routing.ErrFull) {
+		queue.FoundFull(time.Now())
+		return false
+	}
+	if err == nil {
+		req.ownerQueries = 0
+		req.claimed, req.claimedAt = &d, time.Now()
+	}
+	queue.Admitted(time.Now())
+	return true
+}
+
+// waitEndReason returns why a request stops waiting after its context ended.
+func waitEndReason(ctx context.Context) string {
+	if isShutdown(ctx) {
+		return reasonShutdown
+	}
+	return "the caller left"
+}
+
+func (f *Forwarder) refuseNoRoom(req *request, reason string, expected time.Duration) *refusal {
+	return refuse(http.StatusServiceUnavailable, reason, retryWhenRoom(expected)).with(logrus.Fields{
+		"rank": req.priority, "expected_ms": expected.Milliseconds(), "prompt_tokens": req.PromptTokens,
+	})
+}
--- a/gateway/front/drain.go
+++ b/gateway/front/drain.go
@@ -27,15 +27,15 @@
 	log := f.telemetry.Log
 	began := time.Now()
 	until := began.Add(f.settings.Bounds.Grace - drainSpare)
-	log.WithField("open", f.forwarder.Open()).Info("stopping")
+	log.WithField("open", f.forwarder.OpenRequests()).Info("stopping")
 	f.draining.Store(true)
 	f.forwarder.Drain(until)
 	f.exchange.Now()
 	f.awaitQuiet(began, until)
-	f.forwarder.Refuse() // before the last look at what is open
+	f.forwarder.RefuseRequests() // before the last look at what is open
 	f.awaitNone(until)
-	open := f.forwarder.Open()
-	f.forwarder.End()
+	open := f.forwarder.OpenRequests()
+	f.forwarder.CancelRequests()
 	f.callers.shutdown(drainAnswers)
 	log.WithFields(logrus.Fields{"open": open, "took_ms": time.Since(began).Milliseconds()}).Info("stopped")
 	f.Close()
@@ -46,7 +46,7 @@
 	least := began.Add(f.settings.Bounds.Keep + drainMargin)
 	quietSince := began
 	for now := began; now.Before(until); now = time.Now() {
-		if f.forwarder.Open() > 0 {
+		if f.forwarder.OpenRequests() > 0 {
 			quietSince = now
 		}
 		if now.After(least) && now.Sub(quietSince) >= drainQuiet {
@@ -58,7 +58,7 @@
 
 // awaitNone waits until no request is in progress.
 func (f *Front) awaitNone(until time.Time) {
-	for f.forwarder.Open() > 0 && time.Now().Before(until) {
+	for f.forwarder.OpenRequests() > 0 && time.Now().Before(until) {
 		time.Sleep(drainStep)
 	}
 }
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -185,7 +185,7 @@
 		Met:       func() <-chan struct{} { return f.exchange.Met() },
 		Instances: func() (int, int) { return f.exchange.Instances() },
 		Tell:      func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
-		Stopped:   func(r crashers.Request) { f.forwarder.Stopped(r) },
+		Stopped:   func(r crashers.Request) { f.forwarder.StopRequest(r) },
 		Log:       t.Log, Scope: t.Scope,
 	})
 	f.exchange = exchange.New(exchange.Options{
@@ -201,19 +201,19 @@
 	})
 	f.forwarder = forward.New(forward.Options{
 		Settings: forward.Settings{
-			DataCentre: s.Instance.DataCentre, KeyBound: f.keyBound(), DenyBound: time.Duration(denyShare * float64(s.Bounds.Apply)),
+			DataCentre: s.Instance.DataCentre, MaxConfigAgeForKeys: f.keyBound(), MaxConfigAgeForDenial: time.Duration(denyShare * float64(s.Bounds.Apply)),
 			RetryShare: s.Retries.Share, RetryReserve: s.Retries.Reserve, RetryWindow: s.Retries.Window,
-			SilenceFloor: s.Streams.Silence, FirstEvent: s.Streams.FirstEvent, Probe: s.Streams.Probe, Connect: s.Streams.Connect,
-			Without: without(&s.Mechanisms),
+			SilenceFloor: s.Streams.Silence, FirstEventTimeout: s.Streams.FirstEvent, ProbeTimeout: s.Streams.Probe, ConnectTimeout: s.Streams.Connect,
+			Disabled: without(&s.Mechanisms),
 		},
-		Configuration: f.configuration, Known: f.known, Placement: f.placement, Pool: f.pool, Others: f.others(), Crashes: f.held(), Rollouts: f.forwardRollouts(), Clock: f.env.Clock,
-		Ended: f.endpoints.Ended, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
+		Configuration: f.configuration, Synced: f.known, Placement: f.placement, Pool: f.pool, Peers: f.others(), Crashes: f.held(), Rollouts: f.forwardRollouts(), Clock: f.env.Clock,
+		OnEndpointReplaced: f.endpoints.Ended, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
 	})
 }
 
 // without returns the mechanisms of forwarding that are switched off.
-func without(m *settings.FrontMechanisms) forward.Without {
-	return forward.Without{
+func without(m *settings.FrontMechanisms) forward.DisabledMechanisms {
+	return forward.DisabledMechanisms{
 		Copies: !m.Copies, CopyElsewhere: !m.CopyElsewhere, Search: !m.Search, Health: !m.Health, Pace: !m.Pace,
 		SharedRetries: !m.SharedRetries, Line: !m.Line, FirstLook: !m.FirstLook, Claims: !m.Claims,
 	}
@@ -270,7 +270,7 @@
 const choices = 6
 
 // uses returns what this instance has counted, by service.
-func (f *Front) uses() map[string]limits.Counted { return f.forwarder.Uses() }
+func (f *Front) uses() map[string]limits.Counted { return f.forwarder.RetryCounts() }
 
 // queueFactor times its slots is what an endpoint may hold: what waits there for a slot is served
 // sooner than what waits here, as long as the wait is within the aim. At three times the slots, a
@@ -308,7 +308,7 @@
 	if table != nil && len(all) > 0 && (f.rollouts == nil || f.rollouts.Known()) {
 		f.knownOnce.Do(func() {
 			close(f.known)
-			f.forwarder.FirstLook()
+			f.forwarder.MarkSynced()
 			f.limitMemory()
 		})
 	}
--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -19,7 +19,7 @@
 		return routing.Told{}
 	}
 	t := f.placement.Told()
-	t.Read = f.forwarder.Read()
+	t.Read = f.forwarder.PromptLocations()
 	return t
 }
 
@@ -29,11 +29,11 @@
 	if len(t.Ended) > 0 {
 		f.endpoints.Ended(t.Ended...)
 	}
-	f.forwarder.HeardUses(instance, uses)
+	f.forwarder.SetPeerRetryCounts(instance, uses)
 }
 
 func (s *shared) Counted(instance string, uses map[string]limits.Counted) {
-	s.f.forwarder.HeardUses(instance, uses)
+	s.f.forwarder.SetPeerRetryCounts(instance, uses)
 }
 
 func (s *shared) SetOwned(owned func(endpoint string) bool) { s.f.placement.SetOwned(owned) }
@@ -51,7 +51,7 @@
 }
 
 // others returns the other instances, as forwarding sees them.
-func (f *Front) others() forward.Others {
+func (f *Front) others() forward.Peers {
 	if !f.settings.Mechanisms.Announcements || !f.settings.Mechanisms.Owners {
 		return &unasked{f.exchange}
 	}
@@ -61,10 +61,10 @@
 // unasked are other instances that are not asked about engines.
 type unasked struct{ *exchange.Exchange }
 
-// Ask implements [forward.Others].
+// Ask implements [forward.Peers].
 func (u *unasked) Ask(context.Context, uint64, []string) {}
 
-// Claim implements [forward.Others].
+// Claim implements [forward.Peers].
 func (u *unasked) Claim(context.Context, string, routing.Claim) bool { return true }
 
 // held returns what is held against requests, as forwarding sees it; nil where that mechanism is switched off.
--- a/gateway/front/state.go
+++ b/gateway/front/state.go
@@ -61,7 +61,7 @@
 func (f *Front) State() State {
 	s := State{
 		Instance: f.settings.Instance.ID, Ready: f.ready(), Stopping: f.draining.Load(),
-		Open: f.forwarder.Open(), StoreCalls: f.store.Calls(), Peers: f.exchange.Others(),
+		Open: f.forwarder.OpenRequests(), StoreCalls: f.store.Calls(), Peers: f.exchange.Others(),
 		Follows: f.relay.Follows(), CutOff: f.access() == source.StoreUnreachable, Stopped: f.crashes.State(),
 	}
 	if table, age := f.configuration.Table(); table != nil {
