--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -19,7 +19,7 @@
 		return routing.PeerReport{}
 	}
 	t := f.placement.Told()
-	t.Prefilled = f.forwarder.Read()
+	t.Prefilled = f.forwarder.PromptLocations()
 	return t
 }
 
@@ -29,11 +29,11 @@
 	if len(t.Ended) > 0 {
 		f.endpoints.Ended(t.Ended...)
 	}
-	f.forwarder.HeardUses(instance, uses)
+	f.forwarder.SetPeerRetryCounts(instance, uses)
 }
 
 func (s *shared) Counted(instance string, uses map[string]limits.RetryCounts) {
-	s.f.forwarder.HeardUses(instance, uses)
+	s.f.forwarder.SetPeerRetryCounts(instance, uses)
 }
 
 func (s *shared) SetOwned(owned func(endpoint string) bool) { s.f.placement.SetOwned(owned) }
@@ -46,10 +46,12 @@
 	return s.f.placement.Claim(endpoint, peer, c)
 }
 
-func (s *shared) Learn(summary *routing.Summary, prompt uint64) { s.f.placement.Learn(summary, prompt) }
+func (s *shared) Learn(summary *routing.Summary, prompt uint64) {
+	s.f.placement.ApplySummary(summary, prompt)
+}
 
 // others returns the other instances, as forwarding sees them.
-func (f *Front) others() forward.Others {
+func (f *Front) others() forward.Peers {
 	if !f.settings.Mechanisms.Announcements || !f.settings.Mechanisms.Owners {
 		return &unasked{f.exchange}
 	}
@@ -59,10 +61,10 @@
 // unasked are other instances that are not asked about engines.
 type unasked struct{ *exchange.Exchange }
 
-// Ask implements [forward.Others].
+// Ask implements [forward.Peers].
 func (u *unasked) Ask(context.Context, uint64, []string) {}
 
-// Claim implements [forward.Others].
+// Claim implements [forward.Peers].
 func (u *unasked) Claim(context.Context, string, routing.Claim) bool { return true }
 
 // held returns what is held against requests, as forwarding sees it; nil where that mechanism is switched off.
