--- a/gateway/crashes/codec.go
+++ b/gateway/crashes/codec.go
@@ -8,10 +8,10 @@
 	"github.com/agateway/agateway/gateway/clock"
 )
 
-// contentSize is the size of a content on the wire, in bytes.
+// contentSize is the size of a content hash on the wire, in bytes.
 const contentSize = len(crashers.ContentHash{})
 
-// EncodeFacts returns facts as other instances are told them.
+// EncodeFacts encodes facts for other instances. It sends times as ages relative to now.
 func EncodeFacts(now time.Time, facts []crashers.Fact) []*peerv1.CrashFact {
 	out := make([]*peerv1.CrashFact, len(facts))
 	for i := range facts {
@@ -38,7 +38,8 @@
 	return out
 }
 
-// DecodeFacts returns what another instance told. Facts that name no request are left out.
+// DecodeFacts decodes facts of another instance. It leaves out facts without a valid content hash.
+// now is the time that ages are relative to.
 func DecodeFacts(now time.Time, facts []*peerv1.CrashFact) []crashers.Fact {
 	var out []crashers.Fact
 	for _, f := range facts {
--- a/gateway/crashes/codec_test.go
+++ b/gateway/crashes/codec_test.go
@@ -12,7 +12,7 @@
 	"github.com/agateway/agateway/gateway/clock"
 )
 
-// stoppedFact is a stopped request.
+// stoppedFact returns the fact of a stopped request.
 func stoppedFact(team string) crashers.Fact {
 	now := time.Now()
 	end := crashers.Crash{Endpoint: "i-1", Phase: crashers.Begun, Sent: now.Add(-2 * time.Second), At: now.Add(-time.Second)}
@@ -22,8 +22,10 @@
 	}
 }
 
-// TestFactsOnTheWire: what is told arrives as it was, to a millisecond.
-func TestFactsOnTheWire(t *testing.T) {
+// TestFactRoundTrip checks that an encoded fact decodes to the same values, with times to a
+// millisecond, and that invalid facts are left out. A content hash of the wrong length would
+// otherwise panic.
+func TestFactRoundTrip(t *testing.T) {
 	now := time.Now().Truncate(time.Millisecond)
 	f := stoppedFact("desk")
 	f.ClearedAt, f.Trying, f.Stop.Stored = now.Add(-time.Minute), true, true
--- a/gateway/crashes/crashes.go
+++ b/gateway/crashes/crashes.go
@@ -15,7 +15,7 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Store keeps what outlasts all instances.
+// Store keeps stops beyond the lifetime of all instances.
 type Store interface {
 	List(ctx context.Context, kind string) (platform.Page, error)
 	Create(ctx context.Context, kind, name string, spec json.RawMessage) (platform.Object, error)
@@ -23,55 +23,61 @@
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
 
-// Options of a register.
+// Options configure a [Registry].
 type Options struct {
 	Settings crashers.Settings
-	// Self names this instance.
+	// Self is the id of this instance.
 	Self  string
 	Store Store
-	// Met is closed once the other instances were looked for, and Instances returns how many there are.
-	Met       func() <-chan struct{}
-	Instances func() (alive, known int)
-	// Tell tells all others. complete says that this instance knows the stops that the store keeps.
-	Tell func(facts []crashers.Fact, complete bool)
-	// Stopped is called when a request was stopped, by this instance or another one.
-	Stopped func(crashers.Request)
-	Log     *logrus.Entry
-	Scope   tally.Scope
+	// Discovered is closed once this instance has looked for the others. Instances returns how many
+	// instances are alive and how many are known; both counts include this one.
+	Discovered func() <-chan struct{}
+	Instances  func() (alive, known int)
+	// Broadcast sends facts to all other instances. complete says that this instance knows all
+	// stops in the store.
+	Broadcast func(facts []crashers.Fact, complete bool)
+	// OnStopped is called when a request has been stopped, by this instance or by another one.
+	OnStopped func(crashers.Request)
+	Log       *logrus.Entry
+	Scope     tally.Scope
 }
 
-// Register is what this instance knows of requests that end endpoints. It is safe for concurrent use.
-type Register struct {
+// Registry holds what this instance knows of requests that crash endpoints. It is safe for
+// concurrent use.
+type Registry struct {
 	Options
 	metrics metrics
-	// known tells that anything is known of any request: while nothing is, requests need not be looked up.
-	known atomic.Bool
-	// wake and keeperWake tell that there is news, and that the store is to be read or written.
-	wake, keeperWake chan struct{}
+	// hasRecords reports whether any request is recorded. While none is, requests need not be
+	// looked up.
+	hasRecords atomic.Bool
+	// wake announces facts to broadcast, storeWake work for syncStore. Both have a buffer of one.
+	wake, storeWake chan struct{}
 
-	mu     sync.Mutex
-	core   *crashers.Registry
-	trials map[crashers.Request]any // whose trial each request is, of this instance
-	news   map[crashers.Request]int // how often each is still to be told
-	writes map[crashers.Request]time.Time
-	// complete tells that the stops that the store keeps are known.
+	mu         sync.Mutex
+	core       *crashers.Registry
+	trials     map[crashers.Request]any       // owner of each trial of this instance
+	broadcasts map[crashers.Request]int       // how often to send each fact still
+	writes     map[crashers.Request]time.Time // when to write each stop to the store
+	// complete reports whether all stops in the store are known.
 	complete bool
 }
 
-// New returns an empty register.
-func New(o Options) *Register {
-	return &Register{
-		Options: o, metrics: newMetrics(o.Scope), wake: make(chan struct{}, 1), keeperWake: make(chan struct{}, 1), core: crashers.New(o.Settings),
-		trials: map[crashers.Request]any{}, news: map[crashers.Request]int{}, writes: map[crashers.Request]time.Time{},
+// New returns an empty registry. Only while [Registry.Run] runs, it sends changes to the other
+// instances, and reads and writes stops in the store.
+func New(o Options) *Registry {
+	return &Registry{
+		Options: o, metrics: newMetrics(o.Scope), wake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1), core: crashers.New(o.Settings),
+		trials: map[crashers.Request]any{}, broadcasts: map[crashers.Request]int{}, writes: map[crashers.Request]time.Time{},
 	}
 }
 
-// Known tells whether anything is held against any request: while nothing is, a request need not be named.
-func (r *Register) Known() bool { return r.known.Load() }
+// HasRecords reports whether any request is recorded. While none is, the caller need not compute
+// the identity of a request.
+func (r *Registry) HasRecords() bool { return r.hasRecords.Load() }
 
-// Verdict returns what may be done with a request to a service, and for how long it is stopped.
-func (r *Register) Verdict(req crashers.Request, service string) (crashers.Verdict, time.Duration) {
-	if !r.Known() {
+// Verdict returns how a request may be sent to a service, and for how long it is still stopped.
+func (r *Registry) Verdict(req crashers.Request, service string) (crashers.Verdict, time.Duration) {
+	if !r.HasRecords() {
 		return crashers.Free, 0
 	}
 	r.mu.Lock()
@@ -79,102 +85,110 @@
 	return r.verdict(time.Now(), req, service)
 }
 
-// verdict is Verdict for who holds mu.
-func (r *Register) verdict(now time.Time, req crashers.Request, service string) (crashers.Verdict, time.Duration) {
+// verdict is [Registry.Verdict] for a caller that holds mu.
+func (r *Registry) verdict(now time.Time, req crashers.Request, service string) (crashers.Verdict, time.Duration) {
 	return r.core.Verdict(now, req, service), max(r.core.Stop(req).Until.Sub(now), 0)
 }
 
-// Admission says whether a request may be sent to an endpoint: not one that is stopped, nor one that is busy.
+// Admission says whether a request may be sent to an endpoint. It may not if Verdict is Stopped or
+// Busy is true.
 type Admission struct {
 	Verdict crashers.Verdict
-	// Left is for how long a stopped request stays so.
-	Left time.Duration
-	// Busy tells that the request is to be handled with care, and that another one tries it, here or at another instance.
+	// Remaining is how long a stopped request is still stopped.
+	Remaining time.Duration
+	// Busy reports that the request is Careful and is tried by another owner, here or at another
+	// instance.
 	Busy bool
 }
 
-// Admit tells whether a request may be sent to an endpoint of a service. One that is to be handled with care is tried by the
-// caller from then on, until Tried.
-func (r *Register) Admit(req crashers.Request, service string, by any) Admission {
-	if !r.Known() {
+// Admit decides whether a request may be sent to an endpoint of a service. If the request is
+// Careful and not Busy, its trial belongs to owner from then on, and owner ends it with
+// [Registry.Tried].
+func (r *Registry) Admit(req crashers.Request, service string, owner any) Admission {
+	if !r.HasRecords() {
 		return Admission{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	v, left := r.verdict(now, req, service)
-	return Admission{Verdict: v, Left: left, Busy: v == crashers.Careful && !r.try(now, req, service, by)}
+	return Admission{Verdict: v, Remaining: left, Busy: v == crashers.Careful && !r.acquireTrial(now, req, service, owner)}
 }
 
-// try asks for the trial of a request; false while another one is out. The caller holds mu.
-func (r *Register) try(now time.Time, req crashers.Request, service string, by any) bool {
-	if other := r.trials[req]; other != nil && other != by {
+// acquireTrial acquires the trial of a request for owner. It returns false while another owner or
+// instance has it. The caller holds mu.
+func (r *Registry) acquireTrial(now time.Time, req crashers.Request, service string, owner any) bool {
+	if other := r.trials[req]; other != nil && other != owner {
 		return false
 	}
 	if !r.core.AcquireTrial(now, req, service, r.Self) {
 		return false
 	}
-	r.trials[req] = by
-	r.tell(req)
+	r.trials[req] = owner
+	r.scheduleBroadcast(req)
 	return true
 }
 
-// Ended reports that an endpoint ended under a request. inputs are what else led to that, for the log.
-func (r *Register) Ended(req crashers.Request, end crashers.Crash, inputs logrus.Fields) {
+// Ended records that an endpoint crashed while it had a request. inputs are what the attribution
+// was based on, for the log.
+func (r *Registry) Ended(req crashers.Request, crash crashers.Crash, inputs logrus.Fields) {
 	r.mu.Lock()
 	now := time.Now()
-	stopped := r.core.RecordCrash(now, req, end)
-	verdict := r.core.Verdict(now, req, end.Service)
+	stopped := r.core.RecordCrash(now, req, crash)
+	verdict := r.core.Verdict(now, req, crash.Service)
 	f, _ := r.core.Fact(now, req, r.Self)
-	r.tell(req)
+	r.scheduleBroadcast(req)
 	if stopped {
-		r.writeAt(req, now)
+		r.scheduleWrite(req, now)
 	}
-	r.readAfterEnd()
+	r.reloadIfPeersMissing()
 	r.mu.Unlock()
-	r.metrics.blamed(end.Phase)
+	r.metrics.countCrash(crash.Phase)
 	r.log(req, inputs).WithFields(logrus.Fields{
-		"endpoint": end.Endpoint, "begun": end.Phase == crashers.Begun, "late": end.Phase == crashers.Late, "had_it_ms": end.At.Sub(end.Sent).Milliseconds(),
+		"endpoint": crash.Endpoint, "begun": crash.Phase == crashers.Begun, "late": crash.Phase == crashers.Late, "had_it_ms": crash.At.Sub(crash.Sent).Milliseconds(),
 		"endpoints": len(f.Crashes), "verdict": verdict.String(),
-	}).Warn("an endpoint ended under a request")
+	}).Warn("endpoint crashed while it had a request")
 	if stopped {
-		r.stopped(req, "decided")
+		r.reportStopped(req, "decided")
 	}
 }
 
-// log returns a logger that names a request.
-func (r *Register) log(req crashers.Request, inputs logrus.Fields) *logrus.Entry {
+// log returns a logger with the fields that identify a request.
+func (r *Registry) log(req crashers.Request, inputs logrus.Fields) *logrus.Entry {
 	return r.Log.WithFields(inputs).WithFields(logrus.Fields{"team": req.Team, "content": hex.EncodeToString(req.Content[:])})
 }
 
-// stopped makes known here that a request is stopped.
-func (r *Register) stopped(req crashers.Request, how string) {
+// reportStopped counts and logs that a request was stopped, and calls OnStopped. how says who
+// decided it.
+func (r *Registry) reportStopped(req crashers.Request, how string) {
 	r.mu.Lock()
 	f, _ := r.core.Fact(time.Now(), req, r.Self)
 	r.mu.Unlock()
 	r.metrics.stops.Inc(1)
 	r.log(req, nil).WithFields(logrus.Fields{
-		"how": how, "endpoints": endpoints(&f), "times": f.Stop.Count, "for_ms": time.Until(f.Stop.Until).Milliseconds(),
+		"how": how, "endpoints": crashedEndpoints(&f), "times": f.Stop.Count, "for_ms": time.Until(f.Stop.Until).Milliseconds(),
 	}).Warn("request stopped")
-	r.Options.Stopped(req)
+	r.Options.OnStopped(req)
 }
 
-// Served reports that a request was served: it does not end what runs it.
-func (r *Register) Served(req crashers.Request) {
-	if r.Known() {
+// Served records that a request was answered, and clears it: it does not crash the endpoints that
+// run it.
+func (r *Registry) Served(req crashers.Request) {
+	if r.HasRecords() {
 		r.clear(req, "served")
 	}
 }
 
-// Progressed reports that a request has been served for a while.
-func (r *Register) Progressed(req crashers.Request) {
-	if r.Known() {
-		r.clearBy(req, "served for a while", r.core.ClearOnProgress)
+// Progressed records that a request has been served for [ProgressAfter]. It clears the request
+// unless a late crash is recorded for it.
+func (r *Registry) Progressed(req crashers.Request) {
+	if r.HasRecords() {
+		r.clearWith(req, "served for a while", r.core.ClearOnProgress)
 	}
 }
 
-// endpoints names the endpoints that ended under a request.
-func endpoints(f *crashers.Fact) []string {
+// crashedEndpoints returns the endpoints that crashed while they had a request.
+func crashedEndpoints(f *crashers.Fact) []string {
 	out := make([]string, len(f.Crashes))
 	for i := range f.Crashes {
 		out[i] = f.Crashes[i].Endpoint
@@ -182,19 +196,22 @@
 	return out
 }
 
-// Release lets a request go again, by an operator's word. It returns false when nothing is held against it.
-func (r *Register) Release(req crashers.Request) bool { return r.clear(req, "released") }
+// Release clears a request on behalf of an operator. It returns false if nothing is recorded for
+// it.
+func (r *Registry) Release(req crashers.Request) bool { return r.clear(req, "released") }
 
-func (r *Register) clear(req crashers.Request, why string) bool {
-	return r.clearBy(req, why, r.core.Clear)
+func (r *Registry) clear(req crashers.Request, why string) bool {
+	return r.clearWith(req, why, r.core.Clear)
 }
 
-func (r *Register) clearBy(req crashers.Request, why string, by func(time.Time, crashers.Request) bool) bool {
+// clearWith clears a request by a function of the core registry, tells the others, and deletes a
+// stored stop in the background. It returns false if there was nothing to clear.
+func (r *Registry) clearWith(req crashers.Request, why string, clear func(time.Time, crashers.Request) bool) bool {
 	r.mu.Lock()
 	stored := r.core.Stop(req).Stored
-	cleared := by(time.Now(), req)
+	cleared := clear(time.Now(), req)
 	if cleared {
-		r.tell(req)
+		r.scheduleBroadcast(req)
 		delete(r.writes, req)
 	}
 	r.mu.Unlock()
@@ -203,25 +220,26 @@
 	}
 	r.log(req, nil).WithField("why", why).Info("request cleared")
 	if stored {
-		go r.unstore(req)
+		go r.deleteStop(req)
 	}
 	return true
 }
 
-// Tried ends a trial.
-func (r *Register) Tried(req crashers.Request, by any) {
+// Tried ends the trial of a request. It does nothing if owner does not have that trial.
+func (r *Registry) Tried(req crashers.Request, owner any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.trials[req] != by {
+	if r.trials[req] != owner {
 		return
 	}
 	delete(r.trials, req)
 	r.core.ReleaseTrial(req, r.Self)
-	r.tell(req)
+	r.scheduleBroadcast(req)
 }
 
-// Heard takes what another instance told.
-func (r *Register) Heard(from string, facts []crashers.Fact, complete bool) {
+// Heard merges facts from another instance or from the store. complete says that the sender knows
+// all stops in the store; this instance then knows them too.
+func (r *Registry) Heard(from string, facts []crashers.Fact, complete bool) {
 	r.mu.Lock()
 	now := time.Now()
 	r.complete = r.complete || complete
@@ -231,17 +249,18 @@
 		if r.core.Merge(now, from, facts[i]).Stopped {
 			stopped = append(stopped, req)
 		}
-		r.mayWrite(now, req)
+		r.scheduleBackupWrite(now, req)
 	}
-	r.count(now)
+	r.updateGauges(now)
 	r.mu.Unlock()
 	for _, req := range stopped {
-		r.stopped(req, "heard from "+from)
+		r.reportStopped(req, "heard from "+from)
 	}
 }
 
-// Facts returns what is stopped, for an instance that asks, and whether that is all.
-func (r *Register) Facts() ([]crashers.Fact, bool) {
+// Facts returns the stopped requests, to answer another instance. The second result reports whether
+// these are all stops in the store.
+func (r *Registry) Facts() ([]crashers.Fact, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -255,28 +274,29 @@
 }
 
 // Forget drops the trials of an instance that is gone.
-func (r *Register) Forget(instance string) {
+func (r *Registry) Forget(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.core.DropTrials(instance)
 }
 
-// State is what is held against a request, for operators.
+// State describes a request that is or was stopped, for operators.
 type State struct {
 	Team    string `json:"team"`
 	Service string `json:"service"`
 	Content string `json:"content"`
 	Verdict string `json:"verdict"`
-	// Endpoints ended under it.
+	// Endpoints are the endpoints that crashed while they had the request.
 	Endpoints []string `json:"endpoints"`
-	// Times it was stopped, and ForMS for how much longer it is.
+	// Times is how often the request was stopped. ForMS is how long it is still stopped, in
+	// milliseconds.
 	Times  int   `json:"times"`
 	ForMS  int64 `json:"for_ms"`
 	Stored bool  `json:"stored"`
 }
 
-// State returns the requests that are held back or were, the stopped ones.
-func (r *Register) State() []State {
+// State returns the requests that are stopped, or were and have not been cleared since.
+func (r *Registry) State() []State {
 	facts, _ := r.Facts()
 	out := make([]State, len(facts))
 	for i := range facts {
@@ -284,14 +304,15 @@
 		v, left := r.Verdict(f.Request, f.Service)
 		out[i] = State{
 			Team: f.Request.Team, Service: f.Service, Content: hex.EncodeToString(f.Request.Content[:]), Verdict: v.String(),
-			Times: f.Stop.Count, ForMS: left.Milliseconds(), Stored: f.Stop.Stored, Endpoints: endpoints(f),
+			Times: f.Stop.Count, ForMS: left.Milliseconds(), Stored: f.Stop.Stored, Endpoints: crashedEndpoints(f),
 		}
 	}
 	return out
 }
 
-// ReleaseContent lets all stopped requests of a content go; it returns how many there were.
-func (r *Register) ReleaseContent(content string) int {
+// ReleaseContent releases all stopped requests with a content hash, given in hexadecimal. It
+// returns how many were released.
+func (r *Registry) ReleaseContent(content string) int {
 	n := 0
 	facts, _ := r.Facts()
 	for i := range facts {
--- a/gateway/crashes/crashes_test.go
+++ b/gateway/crashes/crashes_test.go
@@ -19,22 +19,23 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// store is the platform's store, as far as stops are kept there.
+// store is a platform store in memory, with the calls that a registry makes. It counts the calls
+// and can be made unavailable.
 type store struct {
 	mu            sync.Mutex
-	away          bool
+	unavailable   bool
 	objects       map[string]json.RawMessage
 	reads, writes int
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
 func (s *store) List(context.Context, string) (platform.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	if s.away {
-		return platform.Page{}, errAway
+	if s.unavailable {
+		return platform.Page{}, errUnavailable
 	}
 	var p platform.Page
 	for name, spec := range s.objects {
@@ -48,10 +49,10 @@
 	defer s.mu.Unlock()
 	s.writes++
 	switch {
-	case s.away:
-		return platform.Object{}, errAway
+	case s.unavailable:
+		return platform.Object{}, errUnavailable
 	case s.objects[name] != nil:
-		return platform.Object{}, platform.ErrConflict.New("it is there")
+		return platform.Object{}, platform.ErrConflict.New("the object exists")
 	}
 	s.objects[name] = spec
 	return platform.Object{Name: name, Spec: spec}, nil
@@ -73,7 +74,7 @@
 	return nil
 }
 
-func (s *store) kept() int {
+func (s *store) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.objects)
@@ -85,24 +86,24 @@
 	return s.reads, s.writes
 }
 
-// fleet is registers that tell each other.
+// fleet holds registries that send facts to each other. Those in isolated neither send nor receive.
 type fleet struct {
 	*testing.T
-	store *store
-	all   []*Register
-	stops []context.CancelFunc
-	mu    sync.Mutex
-	mute  map[int]bool
+	store      *store
+	registries []*Registry
+	cancels    []context.CancelFunc
+	mu         sync.Mutex
+	isolated   map[int]bool
 }
 
 func runFleet(t *testing.T, n int, f func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &fleet{T: t, store: &store{objects: map[string]json.RawMessage{}}, mute: map[int]bool{}}
+		w := &fleet{T: t, store: &store{objects: map[string]json.RawMessage{}}, isolated: map[int]bool{}}
 		for i := range n {
 			w.start(i, n)
 		}
 		defer func() {
-			for _, stop := range w.stops {
+			for _, stop := range w.cancels {
 				stop()
 			}
 			time.Sleep(time.Minute)
@@ -118,113 +119,116 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := New(Options{
-		Settings: crashers.DefaultSettings(), Self: fmt.Sprint("f", i), Store: w.store, Met: func() <-chan struct{} { return met },
+		Settings: crashers.DefaultSettings(), Self: fmt.Sprint("f", i), Store: w.store, Discovered: func() <-chan struct{} { return met },
 		Instances: func() (int, int) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.mute[i] {
+			if w.isolated[i] {
 				return 1, n
 			}
 			return n, n
 		},
-		Tell: func(facts []crashers.Fact, complete bool) {
+		Broadcast: func(facts []crashers.Fact, complete bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			for j, other := range w.all {
-				if j != i && !w.mute[i] && !w.mute[j] {
+			for j, other := range w.registries {
+				if j != i && !w.isolated[i] && !w.isolated[j] {
 					go other.Heard(fmt.Sprint("f", i), facts, complete)
 				}
 			}
 		},
-		Stopped: func(crashers.Request) {}, Log: logrus.NewEntry(log), Scope: tally.NoopScope,
+		OnStopped: func(crashers.Request) {}, Log: logrus.NewEntry(log), Scope: tally.NoopScope,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if i < len(w.all) {
-		w.all[i], w.stops[i] = r, cancel
+	if i < len(w.registries) {
+		w.registries[i], w.cancels[i] = r, cancel
 	} else {
-		w.all, w.stops = append(w.all, r), append(w.stops, cancel)
+		w.registries, w.cancels = append(w.registries, r), append(w.cancels, cancel)
 	}
 	go r.Run(ctx)
 }
 
 var harmful = crashers.Request{Team: "desk", Content: crashers.ContentHash{7}}
 
-// harm ends three endpoints under a request, at some instances in turn.
-func (w *fleet) harm(at ...int) {
+// crashEndpoints records one crash of an endpoint at each of the given instances, in turn, for the
+// same request.
+func (w *fleet) crashEndpoints(at ...int) {
 	for n, i := range at {
 		sent := time.Now()
 		time.Sleep(time.Second)
-		w.all[i].Ended(harmful, crashers.Crash{Endpoint: fmt.Sprint("e", n), Service: "engines", Phase: crashers.Begun, Sent: sent, At: time.Now()}, nil)
+		w.registries[i].Ended(harmful, crashers.Crash{Endpoint: fmt.Sprint("e", n), Service: "engines", Phase: crashers.Begun, Sent: sent, At: time.Now()}, nil)
 	}
 }
 
-func (w *fleet) verdicts(want crashers.Verdict) {
+func (w *fleet) assertVerdicts(want crashers.Verdict) {
 	w.Helper()
-	for i, r := range w.all {
+	for i, r := range w.registries {
 		v, _ := r.Verdict(harmful, "engines")
 		assert.Equal(w, v, want, "f%d", i)
 	}
 }
 
-// TestOneReadsAndOneWrites: calls to the store are paid for, so a fleet that starts reads it a few times, and a stop is written
-// once.
-func TestOneReadsAndOneWrites(t *testing.T) {
+// TestFleetSharesStoreCalls guards against store calls that grow with the fleet. Calls are billed,
+// so a fleet that starts reads the store a few times, and a stop is written once.
+func TestFleetSharesStoreCalls(t *testing.T) {
 	const size = 90
 	runFleet(t, size, func(w *fleet) {
 		reads, writes := w.store.calls()
 		assert.Assert(w, reads <= 3, "%d", reads)
 		assert.Equal(w, writes, 0)
-		w.harm(1, 2, 3)
-		time.Sleep(3 * tellGap)
-		w.verdicts(crashers.Stopped)
+		w.crashEndpoints(1, 2, 3)
+		time.Sleep(3 * broadcastGap)
+		w.assertVerdicts(crashers.Stopped)
 		time.Sleep(time.Minute)
 		_, writes = w.store.calls()
 		assert.Equal(w, writes, 1)
 	})
 }
 
-// TestTheWriterDies: the instance that decided a stop dies before it has written it; another one does.
-func TestTheWriterDies(t *testing.T) {
+// TestStopIsWrittenAfterWriterDies guards against a stop that is lost because the instance that
+// decided it dies before it has written it. Another instance writes it.
+func TestStopIsWrittenAfterWriterDies(t *testing.T) {
 	runFleet(t, 9, func(w *fleet) {
 		w.store.mu.Lock()
-		w.store.away = true
+		w.store.unavailable = true
 		w.store.mu.Unlock()
-		w.harm(1, 2, 3)
-		time.Sleep(3 * tellGap)
-		w.stops[3]()
+		w.crashEndpoints(1, 2, 3)
+		time.Sleep(3 * broadcastGap)
+		w.cancels[3]()
 		w.store.mu.Lock()
-		w.store.away = false
+		w.store.unavailable = false
 		w.store.mu.Unlock()
-		time.Sleep(2*writeLate + time.Second)
+		time.Sleep(2*backupWriteDelay + time.Second)
 		_, writes := w.store.calls()
 		assert.Assert(w, writes >= 1 && writes <= 3, "%d", writes)
-		assert.Equal(w, w.store.kept(), 1)
-		for i := range w.all {
-			w.stops[i]()
-			w.start(i, len(w.all))
+		assert.Equal(w, w.store.count(), 1)
+		for i := range w.registries {
+			w.cancels[i]()
+			w.start(i, len(w.registries))
 		}
-		time.Sleep(readSpread + 100*time.Millisecond)
-		w.verdicts(crashers.Stopped)
+		time.Sleep(readJitter + 100*time.Millisecond)
+		w.assertVerdicts(crashers.Stopped)
 	})
 }
 
-// TestAnInstanceThatHearsNobody: the store answers an instance that is cut off from all others. It learns there of a stop as soon
-// as one endpoint has ended under the request here.
-func TestAnInstanceThatHearsNobody(t *testing.T) {
+// TestIsolatedInstanceReadsStopFromStore covers an instance that reaches the store and no other
+// instance. It learns of a stop from the store as soon as one endpoint has crashed while it had the
+// request from this instance.
+func TestIsolatedInstanceReadsStopFromStore(t *testing.T) {
 	runFleet(t, 9, func(w *fleet) {
 		w.mu.Lock()
-		w.mute[4] = true
+		w.isolated[4] = true
 		w.mu.Unlock()
-		w.harm(1, 2, 3)
+		w.crashEndpoints(1, 2, 3)
 		time.Sleep(time.Second)
 		reads, _ := w.store.calls()
-		v, _ := w.all[4].Verdict(harmful, "engines")
+		v, _ := w.registries[4].Verdict(harmful, "engines")
 		assert.Equal(w, v, crashers.Free)
-		w.harm(4)
+		w.crashEndpoints(4)
 		time.Sleep(100 * time.Millisecond)
-		v, _ = w.all[4].Verdict(harmful, "engines")
+		v, _ = w.registries[4].Verdict(harmful, "engines")
 		assert.Equal(w, v, crashers.Stopped)
 		time.Sleep(time.Minute)
 		after, _ := w.store.calls()
@@ -232,46 +236,49 @@
 	})
 }
 
-// TestOldStopsAreSwept: whoever reads a stop that has been over for a day takes it out of the store.
-func TestOldStopsAreSwept(t *testing.T) {
+// TestOldStopsAreDeleted checks that an instance that reads a stop deletes it from the store once
+// the stop has been over for deleteAfter, and not before.
+func TestOldStopsAreDeleted(t *testing.T) {
 	runFleet(t, 3, func(w *fleet) {
-		w.harm(0, 1, 2)
+		w.crashEndpoints(0, 1, 2)
 		time.Sleep(time.Second)
-		assert.Equal(w, w.store.kept(), 1)
+		assert.Equal(w, w.store.count(), 1)
 		restart := func() {
-			for i := range w.all {
-				w.stops[i]()
-				w.start(i, len(w.all))
+			for i := range w.registries {
+				w.cancels[i]()
+				w.start(i, len(w.registries))
 			}
-			time.Sleep(2 * readSpread)
+			time.Sleep(2 * readJitter)
 		}
 		restart()
-		assert.Equal(w, w.store.kept(), 1)
-		w.verdicts(crashers.Stopped)
-		time.Sleep(crashers.DefaultSettings().MinStop + sweepAfter)
+		assert.Equal(w, w.store.count(), 1)
+		w.assertVerdicts(crashers.Stopped)
+		time.Sleep(crashers.DefaultSettings().MinStop + deleteAfter)
 		restart()
-		assert.Equal(w, w.store.kept(), 0)
+		assert.Equal(w, w.store.count(), 0)
 	})
 }
 
-// TestReleasedEverywhere: what was let go is let go at all instances, and stays so after their loss.
-func TestReleasedEverywhere(t *testing.T) {
+// TestReleaseReachesAllInstances checks that a released request is released at all instances and
+// deleted from the store, so that a restart does not stop it again.
+func TestReleaseReachesAllInstances(t *testing.T) {
 	runFleet(t, 9, func(w *fleet) {
-		w.harm(1, 2, 3)
+		w.crashEndpoints(1, 2, 3)
 		time.Sleep(time.Second)
-		assert.Assert(w, w.all[5].Release(harmful))
-		assert.Assert(w, !w.all[5].Release(harmful))
+		assert.Assert(w, w.registries[5].Release(harmful))
+		assert.Assert(w, !w.registries[5].Release(harmful))
 		time.Sleep(time.Second)
-		w.verdicts(crashers.Free)
-		assert.Equal(w, w.store.kept(), 0)
-		assert.Equal(w, len(w.all[0].State()), 0)
+		w.assertVerdicts(crashers.Free)
+		assert.Equal(w, w.store.count(), 0)
+		assert.Equal(w, len(w.registries[0].State()), 0)
 	})
 }
 
-// TestWhatCanNotBeRead: an object that is no stop, or one of a time far away, does no harm.
-func TestWhatCanNotBeRead(t *testing.T) {
+// TestInvalidStoredStops checks that an object that can't be decoded is left out, and that a stop
+// with a time far in the future does not stop the request for long.
+func TestInvalidStoredStops(t *testing.T) {
 	runFleet(t, 1, func(w *fleet) {
-		r := w.all[0]
+		r := w.registries[0]
 		far := time.Now().Add(1000 * time.Hour)
 		spec, err := json.Marshal(stopEntry{Team: "desk", Times: 1, At: far, Until: far})
 		assert.NilError(w, err)
--- a/gateway/crashes/doc.go
+++ b/gateway/crashes/doc.go
@@ -1,10 +1,17 @@
-// Package crashes keeps which requests end the endpoints that run them, tells the other instances, and keeps the stops
-// in the platform's store. The decisions are those of core/crashers.
+// Package crashes keeps what one instance knows of requests that crash the endpoints that run them.
+// It exchanges that with the other instances and keeps the stops in the platform's store. Package
+// core/crashers makes the decisions.
 //
-// News goes to all others within a few hundredths of a second (package exchange). A stop is written to the store once: by the
-// instance at which it was decided, or by another one when that is not heard of in time. An instance that starts asks
-// others for what is stopped; where none knows, as after the loss of all, one of them reads the store and tells the rest.
+// An [Attributor] decides whether a lost request is to be recorded as the cause of a crash. A
+// [Registry] holds the records, and tells the others of each change within a few tens of
+// milliseconds (package exchange).
 //
-// Failure modes: while the store does not answer, stops last as long as any instance does, and are written when it is back. An
-// instance that has not heard of a stop yet sends the request on, to one more endpoint at a time.
+// A stop is written to the store once, by the instance that decided it. If the others don't hear of
+// that write in time, one of them writes the stop. An instance that starts asks others for the
+// stopped requests. If none of them knows, as after a restart of the whole fleet, one instance
+// reads the store and tells the rest.
+//
+// Failure modes: while the store does not answer, a stop lasts as long as any instance does, and is
+// written once the store is back. An instance that has not heard of a stop yet sends the request to
+// further endpoints, one at a time.
 package crashes
--- a/gateway/crashes/metrics.go
+++ b/gateway/crashes/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/agateway/agateway/core/crashers"
 )
 
-// metrics of requests that end endpoints.
+// metrics count crashes and stopped requests.
 type metrics struct {
 	scope             tally.Scope
 	stops             tally.Counter
@@ -20,8 +20,8 @@
 	}
 }
 
-// blamed counts an endpoint that ended under a request.
-func (m *metrics) blamed(sign crashers.Phase) {
-	name := map[crashers.Phase]string{crashers.Present: "present", crashers.Begun: "begun", crashers.Late: "late"}[sign]
+// countCrash counts a crash that was attributed to a request.
+func (m *metrics) countCrash(phase crashers.Phase) {
+	name := map[crashers.Phase]string{crashers.Present: "present", crashers.Begun: "begun", crashers.Late: "late"}[phase]
 	m.scope.Tagged(map[string]string{"sign": name}).Counter("endpoint_ends_under_requests_total").Inc(1)
 }
--- a/gateway/crashes/store.go
+++ b/gateway/crashes/store.go
@@ -12,25 +12,29 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Calls to the store: each is paid for, so one instance makes them for all.
+// Store calls are billed, so one instance makes each of them for the whole fleet.
 const (
-	// readSpread is the time over which instances read the store that start together: the first one tells the others.
-	readSpread = 600 * time.Millisecond
-	// readAgain is the pause after the store did not answer, and half to three times that at random.
-	readAgain = time.Second
-	// writeLate is how long others wait for the instance that decided a stop to have written it, and writeSpread the time for each
-	// instance of the fleet over which they try then.
-	writeLate   = 2 * time.Second
-	writeSpread = 50 * time.Millisecond
-	// callGap bounds the calls of an instance.
-	callGap = 100 * time.Millisecond
-	// sweepAfter is how long after its end a stop is taken out of the store by whoever reads it: a request that did no harm for
-	// so long begins anew. sweepMost bounds how many are at a time.
-	sweepAfter = 24 * time.Hour
-	sweepMost  = 8
+	// readJitter is the time over which instances that start together spread their reads. The first
+	// one tells the others, which then don't read.
+	readJitter = 600 * time.Millisecond
+	// retryDelay scales the wait after the store did not answer: half of it plus a random time of
+	// up to three times it.
+	retryDelay = time.Second
+	// backupWriteDelay is how long other instances wait for the instance that decided a stop to
+	// write it. After that they spread their own attempts over backupWriteSpread for each instance
+	// of the fleet, and over at least backupWriteDelay. It is also the timeout of a deletion.
+	backupWriteDelay  = 2 * time.Second
+	backupWriteSpread = 50 * time.Millisecond
+	// minCallGap is the least time between two writes of an instance.
+	minCallGap = 100 * time.Millisecond
+	// deleteAfter is how long after its end a stop is deleted from the store by an instance that
+	// reads it. A request that did no harm for so long starts over. maxDeletes bounds the deletions
+	// per read.
+	deleteAfter = 24 * time.Hour
+	maxDeletes  = 8
 )
 
-// stopEntry is a stop as the store keeps it, under its content.
+// stopEntry is a stop as the store keeps it. The object's name is the content hash in hexadecimal.
 type stopEntry struct {
 	Team    string    `json:"team"`
 	Service string    `json:"service"`
@@ -39,76 +43,78 @@
 	Until   time.Time `json:"until"`
 }
 
-// keep reads the stops that are kept, again when others may know of some that this instance can't hear of, and writes those
-// that are not.
-func (r *Register) keep(ctx context.Context) {
+// syncStore reads the stops from the store, and again whenever other instances may know of stops
+// that this one can't hear of. It writes the stops that are not stored yet. It returns when ctx
+// ends.
+func (r *Registry) syncStore(ctx context.Context) {
 	select {
-	case <-r.Met():
+	case <-r.Discovered():
 	case <-ctx.Done():
 		return
 	}
-	r.read(ctx, rand.N(readSpread))
+	r.loadStops(ctx, rand.N(readJitter))
 	for ctx.Err() == nil {
-		r.read(ctx, 0)
+		r.loadStops(ctx, 0)
 		req, wait := r.nextWrite()
 		if wait > 0 {
-			pause.Until(ctx, wait, r.keeperWake)
+			pause.Until(ctx, wait, r.storeWake)
 			continue
 		}
-		r.write(ctx, req)
-		pause.For(ctx, callGap)
+		r.writeStop(ctx, req)
+		pause.For(ctx, minCallGap)
 	}
 }
 
-// writeAt plans to write a stop. The caller holds mu.
-func (r *Register) writeAt(req crashers.Request, at time.Time) {
+// scheduleWrite schedules the write of a stop. The caller holds mu.
+func (r *Registry) scheduleWrite(req crashers.Request, at time.Time) {
 	r.writes[req] = at
-	notify(r.keeperWake)
+	notify(r.storeWake)
 }
 
-// read learns which stops are kept, from another instance or from the store.
-func (r *Register) read(ctx context.Context, wait time.Duration) {
-	for ; !r.isComplete() && pause.For(ctx, wait) && !r.isComplete(); wait = readAgain/2 + rand.N(3*readAgain) {
+// loadStops waits until the stops in the store are known: another instance tells them, or this one
+// reads them after wait. It retries until the store answers or ctx ends.
+func (r *Registry) loadStops(ctx context.Context, wait time.Duration) {
+	for ; !r.isComplete() && pause.For(ctx, wait) && !r.isComplete(); wait = retryDelay/2 + rand.N(3*retryDelay) {
 		page, err := r.Store.List(ctx, platform.KindStopped)
 		if err != nil {
-			r.Log.WithError(err).Warn("stopped requests not read yet")
+			r.Log.WithError(err).Warn("stopped requests can't be read from the store, retrying")
 			continue
 		}
 		facts := r.decode(page.Objects)
 		r.Heard("the store", facts, true)
-		r.Tell(facts, true)
-		r.sweep(facts)
+		r.Broadcast(facts, true)
+		r.deleteOldStops(facts)
 	}
 }
 
-// sweep takes stops out of the store that are long over.
-func (r *Register) sweep(facts []crashers.Fact) {
-	swept := 0
+// deleteOldStops deletes stops from the store that ended long ago.
+func (r *Registry) deleteOldStops(facts []crashers.Fact) {
+	deleted := 0
 	for i := range facts {
-		if time.Since(facts[i].Stop.Until) >= sweepAfter && swept < sweepMost {
-			swept++
-			r.unstore(facts[i].Request)
+		if time.Since(facts[i].Stop.Until) >= deleteAfter && deleted < maxDeletes {
+			deleted++
+			r.deleteStop(facts[i].Request)
 		}
 	}
 }
 
-// readAfterEnd plans to read the store, since an endpoint ended under a request here and some others are not heard: they
-// may have stopped it. The caller holds mu.
-func (r *Register) readAfterEnd() {
+// reloadIfPeersMissing schedules a read of the store if some instances can't be heard. It is called
+// after a crash here, since those instances may have stopped the request. The caller holds mu.
+func (r *Registry) reloadIfPeersMissing() {
 	if alive, known := r.Instances(); alive < known {
 		r.complete = false
-		notify(r.keeperWake)
+		notify(r.storeWake)
 	}
 }
 
-func (r *Register) isComplete() bool {
+func (r *Registry) isComplete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.complete
 }
 
-// decode returns the stops in some objects of the store.
-func (r *Register) decode(objects []platform.Object) []crashers.Fact {
+// decode decodes the stops in objects of the store. It leaves out objects that can't be decoded.
+func (r *Registry) decode(objects []platform.Object) []crashers.Fact {
 	var out []crashers.Fact
 	for _, o := range objects {
 		var e stopEntry
@@ -117,10 +123,10 @@
 			err = json.Unmarshal(o.Spec, &e)
 		}
 		if err != nil || len(content) != len(crashers.ContentHash{}) {
-			r.Log.WithField("object", o.Name).Warn("stopped request can't be read")
+			r.Log.WithField("object", o.Name).Warn("stopped request in the store can't be decoded")
 			continue
 		}
-		// The times of the store's objects are those of another machine's clock, and may be some seconds off.
+		// Times in the store come from another machine's clock, which may be some seconds off.
 		out = append(out, crashers.Fact{
 			Request: crashers.Request{Team: e.Team, Content: crashers.ContentHash(content)}, Service: e.Service,
 			Stop: crashers.Stop{Count: e.Times, At: earlier(e.At, time.Now()), Until: e.Until, Stored: true},
@@ -136,8 +142,10 @@
 	return a
 }
 
-// mayWrite plans to write a stop of another instance, in case that one does not. The caller holds mu.
-func (r *Register) mayWrite(now time.Time, req crashers.Request) {
+// scheduleBackupWrite schedules the write of a stop that another instance decided, in case that
+// instance does not write it. It cancels the write of a stop that is stored or over. The caller
+// holds mu.
+func (r *Registry) scheduleBackupWrite(now time.Time, req crashers.Request) {
 	s := r.core.Stop(req)
 	_, planned := r.writes[req]
 	switch {
@@ -145,15 +153,16 @@
 		delete(r.writes, req)
 	case !planned:
 		_, known := r.Instances()
-		r.writeAt(req, now.Add(writeLate+rand.N(max(writeSpread*time.Duration(known), writeLate))))
+		r.scheduleWrite(req, now.Add(backupWriteDelay+rand.N(max(backupWriteSpread*time.Duration(known), backupWriteDelay))))
 	}
 }
 
-// nextWrite returns the stop that is to be written next, and how long that is from now.
-func (r *Register) nextWrite() (next crashers.Request, wait time.Duration) {
+// nextWrite returns the stop to write next and the time until then. It returns maxStoreWait if
+// there is none.
+func (r *Registry) nextWrite() (next crashers.Request, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait = never
+	wait = maxStoreWait
 	for req, due := range r.writes {
 		if d := time.Until(due); d < wait {
 			next, wait = req, d
@@ -162,11 +171,11 @@
 	return next, wait
 }
 
-// never is waited where nothing is to be written.
-const never = time.Hour
+// maxStoreWait is how long syncStore waits if there is nothing to write.
+const maxStoreWait = time.Hour
 
-// write keeps a stop in the store.
-func (r *Register) write(ctx context.Context, req crashers.Request) {
+// writeStop writes a stop to the store. If that fails, it schedules another attempt.
+func (r *Registry) writeStop(ctx context.Context, req crashers.Request) {
 	r.mu.Lock()
 	f, _ := r.core.Fact(time.Now(), req, r.Self)
 	r.mu.Unlock()
@@ -178,27 +187,27 @@
 		switch {
 		case platform.IsConflict(err) && s.Count > 1:
 			_, err = r.Store.Replace(ctx, platform.KindStopped, name, spec, 0)
-		case platform.IsConflict(err): // another instance was first
+		case platform.IsConflict(err): // another instance has written it
 			err = nil
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.writes[req] = time.Now().Add(readAgain/2 + rand.N(3*readAgain))
-		r.log(req, nil).WithError(err).Warn("stop not written yet")
+		r.writes[req] = time.Now().Add(retryDelay/2 + rand.N(3*retryDelay))
+		r.log(req, nil).WithError(err).Warn("stop can't be written to the store, retrying")
 		return
 	}
 	delete(r.writes, req)
 	r.core.MarkStored(req)
-	r.tell(req)
+	r.scheduleBroadcast(req)
 }
 
-// unstore takes a stop out of the store. One that stays there by mischance ends by its time.
-func (r *Register) unstore(req crashers.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), writeLate)
+// deleteStop deletes a stop from the store. One that can't be deleted expires there.
+func (r *Registry) deleteStop(req crashers.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), backupWriteDelay)
 	defer cancel()
 	if err := r.Store.Delete(ctx, platform.KindStopped, hex.EncodeToString(req.Content[:]), 0); err != nil {
-		r.log(req, nil).WithError(err).Warn("stop not taken out of the store")
+		r.log(req, nil).WithError(err).Warn("stop can't be deleted from the store")
 	}
 }
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -60,7 +60,7 @@
 	network   network.Network
 	platform  *platform.Objects
 	running   *running.Running
-	crashes   *crashes.Register
+	crashes   *crashes.Registry
 	peering   *peering.Service
 	servers   []*http.Server
 	cancel    context.CancelFunc
@@ -134,10 +134,10 @@
 	close(met) // the list of instances does not say which requests are stopped
 	d.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: d.platform.Store(),
-		Met:       func() <-chan struct{} { return met },
-		Instances: func() (int, int) { n := len(d.Fleet.Others()) + 1; return n, n },
-		Tell:      func(facts []crashers.Fact, complete bool) { d.peering.SpreadCrashes(facts, complete) },
-		Stopped:   func(crashers.Request) {}, Log: t.Log, Scope: t.Scope,
+		Discovered: func() <-chan struct{} { return met },
+		Instances:  func() (int, int) { n := len(d.Fleet.Others()) + 1; return n, n },
+		Broadcast:  func(facts []crashers.Fact, complete bool) { d.peering.SpreadCrashes(facts, complete) },
+		OnStopped:  func(crashers.Request) {}, Log: t.Log, Scope: t.Scope,
 	})
 	d.Pipeline = pipeline.New(&pipeline.Deps{
 		Settings: s, Config: d.Config, Backends: d.Backends, Client: client, Crashes: d.crashes, Fleet: d.Fleet, Running: d.running,
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -106,7 +106,7 @@
 	}
 	a.sentAt = time.Now()
 	a.loss = s.req.loss(e)
-	a.loss.Served, a.loss.Urgent = s.served, s.relayed > 0
+	a.loss.Served, a.loss.Async = s.served, s.relayed > 0
 	a.send = platform.Send{
 		Endpoint: e.RequestName(), Left: s.req.left(time.Now()), Team: s.req.teamName(), Rank: s.req.rank,
 		LastEvent: s.lastEvent, CopyFrom: from.Address, CopyName: from.Handle, CopyTo: s.placeCopy(e),
@@ -216,11 +216,11 @@
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
 	if a.silent.Load() {
-		a.session.f.judge.BlameSilence(a.loss)
+		a.session.f.judge.AttributeSilence(a.loss)
 	}
 	if ctx.Err() == nil {
 		a.countLost()
-		a.session.f.judge.Blame(ctx, &a.session.req.losses, a.loss)
+		a.session.f.judge.Attribute(ctx, &a.session.req.losses, a.loss)
 	}
 	return message{kind: attemptFailed, failure: generation.Broken, err: err}
 }
@@ -265,8 +265,8 @@
 		if err != nil {
 			return a.lost(ctx, err)
 		}
-		if a.loss.EventAt.IsZero() {
-			a.loss.EventAt = time.Now()
+		if a.loss.FirstEventAt.IsZero() {
+			a.loss.FirstEventAt = time.Now()
 		}
 		a.tell(ctx, message{kind: attemptEvent, block: e.block, id: e.id, numbered: e.numbered})
 	}
--- a/gateway/forward/crashes.go
+++ b/gateway/forward/crashes.go
@@ -115,7 +115,7 @@
 	a := s.f.Crashes.Admit(s.req.identity, s.req.service, s)
 	switch {
 	case a.Verdict == crashers.Stopped:
-		s.machine.Failed(now, attempt, generation.Stopped, a.Left)
+		s.machine.Failed(now, attempt, generation.Stopped, a.Remaining)
 		return false
 	case a.Busy:
 		s.machine.Failed(now, attempt, generation.NoEndpoint, 0)
@@ -139,10 +139,10 @@
 // servedSoFar ends the trial of the request once its stream has run for a moment, and clears it after a while.
 func (s *session) servedSoFar(now time.Time) {
 	ran := now.Sub(s.firstAt)
-	if ran >= crashes.TriedAfter {
+	if ran >= crashes.TrialDuration {
 		s.tried()
 	}
-	if !s.served && ran >= crashes.ServedAfter {
+	if !s.served && ran >= crashes.ProgressAfter {
 		s.served = true
 		s.f.Crashes.Progressed(s.req.identity)
 	}
@@ -178,7 +178,7 @@
 		a := p.f.Crashes.Admit(p.req.identity, p.req.service, p)
 		switch {
 		case a.Verdict == crashers.Stopped:
-			return p.f.refuseStopped(p.req, a.Left)
+			return p.f.refuseStopped(p.req, a.Remaining)
 		case !a.Busy:
 			return nil
 		}
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -120,7 +120,7 @@
 type Forwarder struct {
 	Options
 	budgets *budgets
-	judge   crashes.Judge
+	judge   crashes.Attributor
 	reads   reads
 	locator locator
 	lines   lines
@@ -161,7 +161,7 @@
 	}
 	f.ending, f.end = context.WithCancel(context.Background())
 	if held != nil {
-		f.judge = crashes.Judge{Ended: held.Ended, HasEnded: f.hasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.Nearby}
+		f.judge = crashes.Attributor{Record: held.Ended, HasCrashed: f.hasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.Nearby}
 	}
 	return f
 }
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -272,7 +272,7 @@
 		t.Late(time.Since(l.SentAt))
 	}
 	if ctx.Err() == nil {
-		p.f.judge.Blame(ctx, &p.req.losses, l)
+		p.f.judge.Attribute(ctx, &p.req.losses, l)
 	}
 	return unknown
 }
@@ -316,10 +316,10 @@
 	if n, err := relay(p.w, a.rest); err != nil {
 		a.rest.Abort()
 		if n > 0 {
-			a.loss.EventAt = a.loss.HeadAt
+			a.loss.FirstEventAt = a.loss.HeadAt
 		}
 		if ctx := p.req.http.Context(); ctx.Err() == nil {
-			p.f.judge.Blame(ctx, &p.req.losses, a.loss)
+			p.f.judge.Attribute(ctx, &p.req.losses, a.loss)
 		}
 		p.f.Log.Refusal(p.req.ID, "answer broke off", logrus.Fields{"error": err.Error()})
 		panic(http.ErrAbortHandler)
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -64,7 +64,7 @@
 	pool          *upstream.Pool
 	forwarder     *forward.Forwarder
 	exchange      *exchange.Exchange
-	crashes       *crashes.Register
+	crashes       *crashes.Registry
 	// rollouts and orders are nil where services are not moved to other builds.
 	rollouts *rollouts.Register
 	orders   *follow.Rollouts
@@ -182,11 +182,11 @@
 	f.buildRollouts(following)
 	f.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: f.store,
-		Met:       func() <-chan struct{} { return f.exchange.Met() },
-		Instances: func() (int, int) { return f.exchange.Instances() },
-		Tell:      func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
-		Stopped:   func(r crashers.Request) { f.forwarder.Stopped(r) },
-		Log:       t.Log, Scope: t.Scope,
+		Discovered: func() <-chan struct{} { return f.exchange.Met() },
+		Instances:  func() (int, int) { return f.exchange.Instances() },
+		Broadcast:  func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
+		OnStopped:  func(r crashers.Request) { f.forwarder.Stopped(r) },
+		Log:        t.Log, Scope: t.Scope,
 	})
 	f.exchange = exchange.New(exchange.Options{
 		Self: exchange.Peer{
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -32,7 +32,7 @@
 	Running *running.Running
 	Tickets *once.Tickets
 	Lists   *Lists
-	Crashes *crashes.Register
+	Crashes *crashes.Registry
 	Pool    *peers.Pool
 	Timeout time.Duration
 	Scope   tally.Scope
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -45,7 +45,7 @@
 	a := s.Crashes.Admit(s.request, s.routing.Service, s)
 	switch {
 	case a.Verdict == crashers.Stopped:
-		s.failed(attempt, generation.Stopped, a.Left)
+		s.failed(attempt, generation.Stopped, a.Remaining)
 		return routing.Weights{}, false
 	case a.Busy:
 		s.failed(attempt, generation.NoEndpoint, 0)
@@ -67,12 +67,12 @@
 	s.mu.Lock()
 	l := crashes.Loss{
 		Request: s.request, ID: s.x.entry.Generation, Endpoint: incarnation(e), Service: e.Service,
-		SentAt: sentAt, HeadAt: at.ackedAt, EventAt: at.tokenAt, Urgent: s.machine.Journal().Len() > 0,
+		SentAt: sentAt, HeadAt: at.ackedAt, FirstEventAt: at.tokenAt, Async: s.machine.Journal().Len() > 0,
 	}
 	ours := s.closed || at.dropped
 	s.mu.Unlock()
 	if !ours {
-		s.judge.Blame(ctx, &s.losses, l)
+		s.judge.Attribute(ctx, &s.losses, l)
 	}
 }
 
@@ -138,13 +138,13 @@
 
 // begin returns why the call may not be sent to another endpoint; nil when it may.
 func (t *callTrial) begin() error {
-	if !t.Crashes.Known() {
+	if !t.Crashes.HasRecords() {
 		return nil
 	}
 	a := t.Crashes.Admit(t.request(), t.service, t)
 	switch {
 	case a.Verdict == crashers.Stopped:
-		return t.ran(errStopped(a.Left))
+		return t.ran(errStopped(a.Remaining))
 	case a.Busy:
 		return t.ran(apierr.New(apierr.Unavailable, "the request is being tried, since endpoints ended under it").WithRetry(time.Second))
 	}
@@ -163,13 +163,13 @@
 // lost holds the end of an endpoint against the call that it lost, if that is the reason.
 func (t *callTrial) lost(ctx context.Context, e *routing.Endpoint, sentAt time.Time, err error) {
 	if errorx.IsOfType(err, endpoint.ErrBroken) && ctx.Err() == nil {
-		t.judge.Blame(ctx, &t.losses, crashes.Loss{Request: t.request(), Endpoint: incarnation(e), Service: e.Service, SentAt: sentAt})
+		t.judge.Attribute(ctx, &t.losses, crashes.Loss{Request: t.request(), Endpoint: incarnation(e), Service: e.Service, SentAt: sentAt})
 	}
 	t.end()
 }
 
 func (t *callTrial) served() {
-	if t.Crashes.Known() {
+	if t.Crashes.HasRecords() {
 		t.Crashes.Served(t.request())
 	}
 }
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -27,7 +27,7 @@
 	Backends *backends.Backends
 	Client   *endpoint.Client
 	// Crashes is what is known of requests that end endpoints.
-	Crashes *crashes.Register
+	Crashes *crashes.Registry
 	Fleet   *fleet.Fleet
 	Running *running.Running
 	Tickets *once.Tickets
@@ -41,7 +41,7 @@
 	recovery generation.Config
 	retries  retryBudget
 	metrics  *metrics
-	judge    crashes.Judge
+	judge    crashes.Attributor
 	usage    func() map[string]limits.Usage
 }
 
@@ -55,7 +55,7 @@
 	e := &d.Settings.Endpoints
 	d.retries.budget = limits.NewRetryBudget(e.RetryShare, e.RetryReserve)
 	d.metrics = newMetrics(d.Scope)
-	d.judge.Ended, d.judge.HasEnded, d.judge.Nearby = d.Crashes.Ended, d.hasEnded, d.nearby
+	d.judge.Record, d.judge.HasCrashed, d.judge.Nearby = d.Crashes.Ended, d.hasEnded, d.nearby
 }
 
 // retryBudget is a budget shared by all requests of the instance.
--- a/gateway/pipeline/receiver.go
+++ b/gateway/pipeline/receiver.go
@@ -78,7 +78,7 @@
 	if at.tokenAt.IsZero() {
 		at.tokenAt = now
 	}
-	if !at.served && now.Sub(at.tokenAt) >= crashes.ServedAfter {
+	if !at.served && now.Sub(at.tokenAt) >= crashes.ProgressAfter {
 		at.served = true
 		s.progressed()
 	}
