--- a/gateway/decisions/decisions.go
+++ b/gateway/decisions/decisions.go
@@ -1,7 +1,7 @@
-// Package decisions logs a line for each decision that touches a request. Its volume is bounded, and
-// it never blocks: lines beyond the budget, or that a slow reader of the output leaves no room for, are
-// counted and left out. Refusals and failures have a budget of their own, so that they are kept when
-// ordinary lines are not.
+// Package decisions logs a line for each decision about a request. It bounds the number of lines
+// and never blocks the caller. Lines beyond the rate limit, and lines that the output is too slow
+// for, are dropped and counted. Refusals and failures have a rate limit of their own, so that
+// ordinary decisions don't crowd them out.
 package decisions
 
 import (
@@ -16,83 +16,86 @@
 	"github.com/agateway/agateway/gateway/pause"
 )
 
-// Budgets of lines a second. A line costs 5 us of processor time and one that is left out 0.2 us
-// (BenchmarkDecision, BenchmarkLeftOut), so both budgets together cost 0.2% of a core.
+// Rate limits, in lines per second. A logged line costs 5 us of processor time and a dropped one
+// 0.2 us (BenchmarkDecision, BenchmarkDroppedDecision), so both limits together cost 0.2% of a
+// core.
 const (
-	ordinaryPerSecond = 200
-	refusalsPerSecond = 200
-	// burst is how many lines may come at once.
-	burst = 400
+	decisionsPerSecond = 200
+	refusalsPerSecond  = 200
+	// burstLines is how many lines may be logged at once, for each of the two limits.
+	burstLines = 400
 )
 
-// Log takes decisions. It is safe for concurrent use.
+// Log logs decisions. It is safe for concurrent use.
 type Log struct {
-	log                *logrus.Entry
-	ordinary, refusals *rate.Limiter
-	left               atomic.Uint64
+	log                 *logrus.Entry
+	decisions, refusals *rate.Limiter
+	dropped             atomic.Uint64
 }
 
-// New returns a log that writes to log.
+// New returns a Log that writes to log.
 func New(log *logrus.Entry) *Log {
 	return &Log{
-		log: log, ordinary: rate.NewLimiter(ordinaryPerSecond, burst), refusals: rate.NewLimiter(refusalsPerSecond, burst),
+		log: log, decisions: rate.NewLimiter(decisionsPerSecond, burstLines), refusals: rate.NewLimiter(refusalsPerSecond, burstLines),
 	}
 }
 
-// Decision logs what was decided about a request, and from which inputs.
-func (l *Log) Decision(request, what string, inputs logrus.Fields) {
-	l.line(l.ordinary, logrus.InfoLevel, request, what, inputs)
+// Decision logs a decision about a request and the inputs that it was based on. request is the id
+// of the request.
+func (l *Log) Decision(request, message string, inputs logrus.Fields) {
+	l.writeLine(l.decisions, logrus.InfoLevel, request, message, inputs)
 }
 
-// Refusal logs why a request was not served.
-func (l *Log) Refusal(request, what string, inputs logrus.Fields) {
-	l.line(l.refusals, logrus.WarnLevel, request, what, inputs)
+// Refusal logs why a request was not served. request is the id of the request.
+func (l *Log) Refusal(request, message string, inputs logrus.Fields) {
+	l.writeLine(l.refusals, logrus.WarnLevel, request, message, inputs)
 }
 
-func (l *Log) line(budget *rate.Limiter, level logrus.Level, request, what string, inputs logrus.Fields) {
+func (l *Log) writeLine(limiter *rate.Limiter, level logrus.Level, request, message string, inputs logrus.Fields) {
 	if !l.log.Logger.IsLevelEnabled(level) {
 		return
 	}
-	if !budget.Allow() {
-		l.left.Add(1)
+	if !limiter.Allow() {
+		l.dropped.Add(1)
 		return
 	}
-	l.log.WithFields(inputs).WithField("request", request).Log(level, what)
+	l.log.WithFields(inputs).WithField("request", request).Log(level, message)
 }
 
-// Run logs how many lines were left out, once a second, until ctx ends.
+// Run logs the number of dropped lines once a second, if there are any, until ctx ends.
 func (l *Log) Run(ctx context.Context) {
 	pause.Every(ctx, time.Second, func() {
-		if n := l.left.Swap(0); n > 0 {
+		if n := l.dropped.Swap(0); n > 0 {
 			l.log.WithField("lines", n).Warn("decisions left out of the log")
 		}
 	})
 }
 
-// queueLines is how many lines wait for the reader of the output: about 256 kB.
-const queueLines = 1024
+// maxQueuedLines is how many lines wait for the output: about 256 kB.
+const maxQueuedLines = 1024
 
-// Writer passes lines on to an output that may be slow, without ever waiting for it.
+// Writer passes lines on to an output that may be slow, without ever blocking. It is safe for
+// concurrent use.
 type Writer struct {
 	lines           chan []byte
 	closed, written chan struct{}
-	left            atomic.Uint64
+	dropped         atomic.Uint64
 }
 
-// NewWriter returns a writer to out.
+// NewWriter returns a writer to out. It starts a goroutine, which [Writer.Close] ends.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queueLines), closed: make(chan struct{}), written: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, maxQueuedLines), closed: make(chan struct{}), written: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// run writes lines until the writer is closed, and then those that wait.
+// run writes lines until the writer is closed, and then the queued ones.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.written)
 	for {
 		select {
 		case line := <-w.lines:
-			_, _ = out.Write(line) // where a log can't be written there is nobody to tell
+			_, _ = out.Write(line) // an error can't be reported, since the log itself fails
 		case <-w.closed:
 			for len(w.lines) > 0 {
 				_, _ = out.Write(<-w.lines)
@@ -102,26 +105,28 @@
 	}
 }
 
-// Write implements [io.Writer]. It always succeeds.
+// Write implements [io.Writer]. It always succeeds; it drops and counts the line if the queue is
+// full.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
 	default:
-		w.left.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Left returns how many lines the reader of the output left no room for.
-func (w *Writer) Left() uint64 { return w.left.Load() }
+// Dropped returns how many lines were dropped because the output was too slow.
+func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// closeWait bounds the wait for the last lines.
-const closeWait = 200 * time.Millisecond
+// closeTimeout bounds the wait for the last lines.
+const closeTimeout = 200 * time.Millisecond
 
-// Close waits a short while until the lines so far are written. Lines after it are lost.
+// Close waits until the queued lines are written, for at most closeTimeout. Lines that are written
+// later are lost. It must be called once.
 func (w *Writer) Close() {
 	close(w.closed)
-	t := time.NewTimer(closeWait)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	select {
 	case <-w.written:
--- a/gateway/decisions/decisions_test.go
+++ b/gateway/decisions/decisions_test.go
@@ -12,40 +12,41 @@
 	"gotest.tools/v3/assert"
 )
 
-func entry(out io.Writer) *logrus.Entry {
+func newEntry(out io.Writer) *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(out)
 	l.SetFormatter(&logrus.JSONFormatter{})
 	return logrus.NewEntry(l)
 }
 
-// stuck is an output that nobody reads.
-type stuck struct{ hold chan struct{} }
+// blockedOutput blocks each write until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
-	<-s.hold
+func (s blockedOutput) Write(b []byte) (int, error) {
+	<-s.release
 	return len(b), nil
 }
 
-// TestAReaderThatStopsLosesLinesNotRequests: logging goes on at once, and what did not fit is counted.
-func TestAReaderThatStopsLosesLinesNotRequests(t *testing.T) {
-	out := stuck{make(chan struct{})}
+// TestBlockedOutputDoesNotBlockLogging guards against requests that wait for the log. If the output
+// blocks, logging goes on and the lines that don't fit into the queue are counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := blockedOutput{make(chan struct{})}
 	w := NewWriter(out)
-	e := entry(w)
+	e := newEntry(w)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 3 * queueLines {
+		for range 3 * maxQueuedLines {
 			e.Info("line")
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging waits for the reader")
+		t.Fatal("logging waits for the output")
 	}
-	assert.Assert(t, w.Left() >= queueLines)
-	close(out.hold)
+	assert.Assert(t, w.Dropped() >= maxQueuedLines)
+	close(out.release)
 	w.Close()
 }
 
@@ -60,26 +61,28 @@
 	return b.buf.Write(p)
 }
 
-// TestRefusalsAreKept: a flood of ordinary lines uses up its own budget only.
-func TestRefusalsAreKept(t *testing.T) {
+// TestRefusalsHaveTheirOwnLimit guards against refusals that are dropped while there are too many
+// ordinary decisions.
+func TestRefusalsHaveTheirOwnLimit(t *testing.T) {
 	out := &safeBuffer{}
-	l := New(entry(out))
-	for range 10 * burst {
+	l := New(newEntry(out))
+	for range 10 * burstLines {
 		l.Decision("r1", "placed", nil)
 	}
-	for range burst / 2 {
+	for range burstLines / 2 {
 		l.Refusal("r2", "no room", logrus.Fields{"status": 503})
 	}
-	assert.Equal(t, strings.Count(out.buf.String(), "no room"), burst/2)
+	assert.Equal(t, strings.Count(out.buf.String(), "no room"), burstLines/2)
 	placed := strings.Count(out.buf.String(), "placed")
-	assert.Assert(t, placed >= burst && placed < 2*burst, "%d", placed)
-	assert.Equal(t, int(l.left.Load()), 10*burst-placed)
+	assert.Assert(t, placed >= burstLines && placed < 2*burstLines, "%d", placed)
+	assert.Equal(t, int(l.dropped.Load()), 10*burstLines-placed)
 }
 
-func TestAllIsWrittenBeforeTheEnd(t *testing.T) {
+// TestCloseWritesQueuedLines guards against losing the last lines of a process that ends.
+func TestCloseWritesQueuedLines(t *testing.T) {
 	out := &safeBuffer{}
 	w := NewWriter(out)
-	e := entry(w)
+	e := newEntry(w)
 	for range 100 {
 		e.Info("line")
 	}
@@ -88,18 +91,18 @@
 }
 
 func BenchmarkDecision(b *testing.B) {
-	l := New(entry(NewWriter(io.Discard)))
-	l.ordinary.SetLimit(1e9)
+	l := New(newEntry(NewWriter(io.Discard)))
+	l.decisions.SetLimit(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Decision("9c41d07be2a35f68", "placed", logrus.Fields{"endpoint": "i-7f3a91c2", "attempt": 1, "configuration": 7, "events": 0})
 	}
 }
 
-func BenchmarkLeftOut(b *testing.B) {
-	l := New(entry(NewWriter(io.Discard)))
-	l.ordinary.SetLimit(0)
-	l.ordinary.SetBurst(0)
+func BenchmarkDroppedDecision(b *testing.B) {
+	l := New(newEntry(NewWriter(io.Discard)))
+	l.decisions.SetLimit(0)
+	l.decisions.SetBurst(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Decision("9c41d07be2a35f68", "placed", logrus.Fields{"endpoint": "i-7f3a91c2", "attempt": 1})
