--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -178,7 +178,7 @@
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
 	if a.repeat && !s.f.mayRepeat(s.req.service, a.recovery()) {
-		conn.Keep()
+		conn.PutBack()
 		return a.noRoom()
 	}
 	a.loss.SentAt, a.loss.Reused = time.Now(), conn.Reused()
--- a/gateway/forward/target.go
+++ b/gateway/forward/target.go
@@ -15,7 +15,7 @@
 	t := upstream.Target{ID: e.ID, Address: e.Address}
 	if s := req.table.Service(e.Service); s != nil && s.MaxConnections > 0 {
 		_, known := f.Others.Instances()
-		t.Connections = limits.MaxConnections(s.MaxConnections, known)
+		t.MaxConnections = limits.MaxConnections(s.MaxConnections, known)
 	}
 	return t
 }
--- a/gateway/upstream/doc.go
+++ b/gateway/upstream/doc.go
@@ -1,12 +1,15 @@
-// Package upstream is the connection layer to endpoints: HTTP/1.1 requests, each sent exactly once.
+// Package upstream is the connection layer to endpoints. It sends HTTP/1.1 requests, each exactly
+// once.
 //
-// A request is never repeated here, whatever happens; an error says whether a byte of it may have
-// left ([ErrNotSent]: none did, [ErrLost]: some may have, so it may have run). A connection is used
-// again only after an answer that ended where it said it would, and only if nothing has arrived on it
-// since: bytes that nobody asked for, an end or a reset throw it away. An answer to an earlier request
-// that comes late is recognised by the caller's check and skipped.
+// The package never repeats a request. An error says whether any byte of the request may have been
+// sent: none for [ErrNotSent], some for [ErrLost], so the request may have run.
 //
-// Failure modes: an open connection can go silent for good; only the caller's deadline ends the wait.
-// Connections per endpoint are bounded ([ErrBusy]), since endpoints reset what goes beyond their own
-// bound.
+// A connection is reused only after an answer that ended at its stated length or last chunk, and
+// only if nothing has arrived on it since. Unexpected bytes, an end of file or a reset discard the
+// connection. A late answer to an earlier request is recognised by a check of the caller and
+// skipped.
+//
+// Failure modes: an open connection can go silent for good; only the caller's deadline ends the
+// wait then. The connections to an endpoint are bounded ([ErrBusy]), since endpoints reset
+// connections beyond their own bound.
 package upstream
--- a/gateway/upstream/exchange.go
+++ b/gateway/upstream/exchange.go
@@ -13,42 +13,43 @@
 	"time"
 )
 
-// Request is what goes to an endpoint, as it came from the caller.
+// Request is a request to an endpoint. It is sent as it came from the caller.
 type Request struct {
-	// Method, Target (path and query as on the request line) and Host are sent as they are.
+	// Method, Target and Host are sent unchanged. Target is the path and query of the request line.
 	Method, Target, Host string
 	Header               http.Header
-	// Body is sent with a length when Length is 0 or more, else in chunks. Nil for none.
+	// Body is sent with a Content-Length if Length is not negative, otherwise in chunks; nil for
+	// none.
 	Body   io.Reader
 	Length int64
 }
 
 // Exchange is one request on a connection, with its answer.
 type Exchange struct {
-	conn    *Conn
-	resp    *http.Response
-	sent    atomic.Bool // the whole request was written
-	written atomic.Int64
-	done    chan struct{}
-	stop    func() bool
+	conn          *Conn
+	resp          *http.Response
+	sentAll       atomic.Bool // the whole request was written
+	bytesWritten  atomic.Int64
+	done          chan struct{} // closed once the request's writer has ended
+	stopAfterFunc func() bool   // see [context.AfterFunc]
 }
 
-// maxSkipped bounds the answers to earlier requests that are skipped on a connection.
-const maxSkipped = 2
+// maxSkippedAnswers bounds the answers to earlier requests that are skipped on a connection.
+const maxSkippedAnswers = 2
 
-// Do sends a request on a connection and reads the head of its answer. mine tells whether an answer
-// is for this request; others are skipped. The connection belongs to the exchange, and is closed when
-// ctx ends. The error is [ErrNotSent] or [ErrLost].
-func (c *Conn) Do(ctx context.Context, r *Request, mine func(status int, h http.Header) bool) (*Exchange, error) {
+// Do sends a request on a connection and reads the head of its answer. matches reports whether an
+// answer belongs to this request; other answers are skipped. The exchange owns the connection, and
+// closes it when ctx ends. The error is [ErrNotSent] or [ErrLost].
+func (c *Conn) Do(ctx context.Context, r *Request, matches func(status int, h http.Header) bool) (*Exchange, error) {
 	x := &Exchange{conn: c, done: make(chan struct{})}
-	x.stop = context.AfterFunc(ctx, c.Discard)
+	x.stopAfterFunc = context.AfterFunc(ctx, c.Discard)
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = c.SetDeadline(deadline)
 	}
 	go x.write(r)
-	if err := x.readHead(r, mine); err != nil {
+	if err := x.readHead(r, matches); err != nil {
 		x.Abort()
-		if c.reused && x.nothingLeft() {
+		if c.reused && x.nothingWritten() {
 			return nil, ErrNotSent.Wrap(err, "%s closed the connection before anything was sent", c.target.ID)
 		}
 		return nil, ErrLost.Wrap(err, "no answer from %s", c.target.ID)
@@ -56,13 +57,15 @@
 	return x, nil
 }
 
-// writerEnd bounds the wait for the writer of a connection that was closed or answered. It takes longer only
-// while the caller's own body is awaited or the endpoint does not read it.
-const writerEnd = 20 * time.Millisecond
+// writerTimeout bounds the wait for the goroutine that writes the request, after the connection was
+// closed or the endpoint has answered. The writer takes longer only while it waits for the caller's
+// body or the endpoint does not read.
+const writerTimeout = 20 * time.Millisecond
 
-// writerEnds tells whether the writer ends within a moment.
-func (x *Exchange) writerEnds() bool {
-	t := time.NewTimer(writerEnd)
+// awaitWriter waits for the writer, for at most writerTimeout. It returns true if the writer has
+// ended.
+func (x *Exchange) awaitWriter() bool {
+	t := time.NewTimer(writerTimeout)
 	defer t.Stop()
 	select {
 	case <-x.done:
@@ -72,28 +75,29 @@
 	}
 }
 
-// nothingLeft tells whether it is certain that the connection took no byte of the request.
-func (x *Exchange) nothingLeft() bool { return x.writerEnds() && x.written.Load() == 0 }
+// nothingWritten reports whether the connection certainly took no byte of the request.
+func (x *Exchange) nothingWritten() bool { return x.awaitWriter() && x.bytesWritten.Load() == 0 }
 
-// allSent tells whether the whole request was written. An endpoint that has all of it may answer before
-// the writer has returned from its last write.
-func (x *Exchange) allSent() bool { return x.writerEnds() && x.sent.Load() }
+// requestSent reports whether the whole request was written. It awaits the writer, since an
+// endpoint that has the whole request may answer before the writer has returned from its last
+// write.
+func (x *Exchange) requestSent() bool { return x.awaitWriter() && x.sentAll.Load() }
 
-// write sends the request. It runs beside the reader, since an endpoint may answer before it has read
-// a long body.
+// write sends the request. It runs concurrently with the reader, since an endpoint may answer
+// before it has read a long body.
 func (x *Exchange) write(r *Request) {
 	defer close(x.done)
-	w := bufio.NewWriterSize(countingWriter{x}, writeBuffer)
-	// A failed write shows in the answer that does not come.
-	x.sent.Store(writeRequest(w, r) == nil)
+	w := bufio.NewWriterSize(countingWriter{x}, writeBufferSize)
+	// A failed write is not reported: the reader fails, since no answer arrives.
+	x.sentAll.Store(writeRequest(w, r) == nil)
 }
 
-// countingWriter counts what the connection took.
+// countingWriter counts the bytes that the connection took.
 type countingWriter struct{ x *Exchange }
 
 func (w countingWriter) Write(b []byte) (int, error) {
 	n, err := w.x.conn.Write(b)
-	w.x.written.Add(int64(n))
+	w.x.bytesWritten.Add(int64(n))
 	return n, err
 }
 
@@ -137,7 +141,7 @@
 }
 
 func writeChunks(w *bufio.Writer, body io.Reader) error {
-	buf := make([]byte, readBuffer)
+	buf := make([]byte, readBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
@@ -160,8 +164,9 @@
 	}
 }
 
-// readHead reads the head of the answer, past informational ones and those to earlier requests.
-func (x *Exchange) readHead(r *Request, mine func(int, http.Header) bool) error {
+// readHead reads the head of the answer. It skips informational answers and answers to earlier
+// requests.
+func (x *Exchange) readHead(r *Request, matches func(int, http.Header) bool) error {
 	for skipped := 0; ; {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
@@ -170,11 +175,11 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if mine(resp.StatusCode, resp.Header) {
+		if matches(resp.StatusCode, resp.Header) {
 			x.resp = resp
 			return nil
 		}
-		if skipped++; skipped > maxSkipped || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+		if skipped++; skipped > maxSkippedAnswers || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return errors.New("the answer is to another request")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -183,13 +188,14 @@
 	}
 }
 
-// Status returns the answer's status code.
+// Status returns the status code of the answer.
 func (x *Exchange) Status() int { return x.resp.StatusCode }
 
-// Header returns the answer's headers.
+// Header returns the headers of the answer.
 func (x *Exchange) Header() http.Header { return x.resp.Header }
 
-// Read reads the answer's body. The error is [io.EOF] only at its proper end.
+// Read reads the body of the answer. It returns [io.EOF] only if the body is complete, and
+// [ErrLost] if it broke off.
 func (x *Exchange) Read(b []byte) (int, error) {
 	n, err := x.resp.Body.Read(b)
 	if err != nil && err != io.EOF {
@@ -198,30 +204,31 @@
 	return n, err
 }
 
-// Finish ends an exchange whose body was read to its end: the connection is kept for another request
-// where that is safe.
+// Finish ends an exchange whose body was read to its end. It returns the connection to the pool if
+// another request can safely be sent on it, and closes it otherwise.
 func (x *Exchange) Finish() {
-	detached := x.stop()
-	if !detached || !x.allSent() || x.resp.Close || x.unframed() {
+	detached := x.stopAfterFunc()
+	if !detached || !x.requestSent() || x.resp.Close || x.closeDelimited() {
 		x.conn.Discard()
 		return
 	}
-	x.conn.pool.keep(x.conn, idleTime(x.resp.Header))
+	x.conn.pool.putIdle(x.conn, keepAliveTimeout(x.resp.Header))
 }
 
-// unframed tells that the answer ends with its connection.
-func (x *Exchange) unframed() bool {
+// closeDelimited reports whether the answer ends with its connection.
+func (x *Exchange) closeDelimited() bool {
 	return x.resp.ContentLength < 0 && len(x.resp.TransferEncoding) == 0 && x.resp.Body != http.NoBody
 }
 
-// Abort closes the connection: the endpoint learns that nobody waits for the answer.
+// Abort closes the connection, which tells the endpoint that nobody waits for the answer.
 func (x *Exchange) Abort() {
-	x.stop()
+	x.stopAfterFunc()
 	x.conn.Discard()
 }
 
-// idleTime returns the idle time that an endpoint states; 0 when it states none.
-func idleTime(h http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout that an endpoint states in a Keep-Alive header; 0 if it
+// states none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/gateway/upstream/quiet.go
+++ b/gateway/upstream/peek.go
@@ -9,33 +9,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet tells whether nothing has arrived on an idle connection. It looks without waiting and without
-// taking bytes: one system call, no goroutine for each idle connection. Connections that are no plain
-// sockets are read from for a moment.
-func (c *Conn) quiet() bool {
+// inputEmpty reports whether nothing has arrived on an idle connection, not even its end. It peeks
+// without blocking and without consuming bytes. That takes one system call, and no goroutine for
+// each idle connection. Connections that are not plain sockets are read from for a millisecond.
+func (c *Conn) inputEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	sock, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return c.quietFor(time.Millisecond)
+		return c.inputEmptyFor(time.Millisecond)
 	}
 	raw, err := sock.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN || err == unix.EWOULDBLOCK
+		empty = err == unix.EAGAIN || err == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// quietFor tells whether nothing arrives within d.
-func (c *Conn) quietFor(d time.Duration) bool {
+// inputEmptyFor reports whether nothing arrives within d.
+func (c *Conn) inputEmptyFor(d time.Duration) bool {
 	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
 		return false
 	}
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -12,71 +12,76 @@
 	"github.com/joomcode/errorx"
 )
 
-// Errors of this layer.
+// Error types of this package.
 var (
 	namespace = errorx.NewNamespace("upstream")
-	// ErrNotSent: no byte of the request left, so it has not run.
+	// ErrNotSent says that no byte of the request was sent, so it has not run.
 	ErrNotSent = namespace.NewType("not_sent", errorx.Temporary())
-	// ErrGone: nothing listens at the endpoint's address, though its machine answers.
+	// ErrGone says that nothing listens at the endpoint's address, although its machine answers. It
+	// is a subtype of ErrNotSent.
 	ErrGone = ErrNotSent.NewSubtype("gone")
-	// ErrLost: the request may have been received, and there is no whole answer.
+	// ErrLost says that the request may have been received, and that there is no complete answer.
 	ErrLost = namespace.NewType("lost")
-	// ErrBusy: all connections that this instance may have to the endpoint are in use.
+	// ErrBusy says that all connections that this instance may have to the endpoint are in use.
 	ErrBusy = namespace.NewType("busy", errorx.Temporary())
 )
 
-// DialFunc connects.
+// DialFunc opens a connection.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Target is an endpoint to connect to.
 type Target struct {
-	// ID is one incarnation of an endpoint: connections to another one are not used for it.
+	// ID names one incarnation of an endpoint. Connections to another incarnation are not reused
+	// for it.
 	ID, Address string
-	// Connections bounds the connections of this instance; 0 for no bound.
-	Connections int
+	// MaxConnections bounds the connections of this instance to the endpoint; 0 for no bound.
+	MaxConnections int
 }
 
-// Pool holds idle connections to endpoints. It is safe for concurrent use.
+// Pool holds idle connections to endpoints, and counts the open ones. It is safe for concurrent
+// use.
 type Pool struct {
-	dial DialFunc
-	mu   sync.Mutex
-	ends map[string]*end
+	dial      DialFunc
+	mu        sync.Mutex
+	endpoints map[string]*endpointConns // by Target.ID
 }
 
-// end is what the pool knows of one endpoint.
-type end struct {
-	idle []*Conn // last used last
-	open int     // idle ones included
+// endpointConns are the connections to one endpoint.
+type endpointConns struct {
+	idle []*Conn // least recently used first
+	open int     // including idle ones
 }
 
 // NewPool returns an empty pool.
-func NewPool(dial DialFunc) *Pool { return &Pool{dial: dial, ends: map[string]*end{}} }
+func NewPool(dial DialFunc) *Pool { return &Pool{dial: dial, endpoints: map[string]*endpointConns{}} }
 
-// Conn is a connection that serves one request at a time.
+// Conn is a connection to an endpoint. It serves one request at a time.
 type Conn struct {
 	net.Conn
-	pool      *Pool
-	target    Target
-	reader    *bufio.Reader
-	idleUntil time.Time // when the endpoint may close it; zero when it did not say
-	reused    bool
-	closed    sync.Once
+	pool       *Pool
+	target     Target
+	reader     *bufio.Reader
+	reuseUntil time.Time // not reused later, as the endpoint may close it; zero before PutBack or Finish
+	reused     bool
+	closed     sync.Once
 }
 
-// Buffer sizes: a connection holds one of each, so a thousand open ones take 6 MB.
+// Buffer sizes in bytes. A connection holds one buffer of each size, so a thousand open connections
+// take 6 MB.
 const (
-	readBuffer  = 4 << 10
-	writeBuffer = 2 << 10
+	readBufferSize  = 4 << 10
+	writeBufferSize = 2 << 10
 )
 
-// Get returns an idle connection that is still quiet, or a new one.
+// Get returns an idle connection on which nothing has arrived, or a new one. The error is [ErrBusy]
+// or [ErrNotSent].
 func (p *Pool) Get(ctx context.Context, t Target) (*Conn, error) {
 	for {
 		c := p.takeIdle(t.ID)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.idleUntil) && c.quiet() {
+		if time.Now().Before(c.reuseUntil) && c.inputEmpty() {
 			c.reused = true
 			return c, nil
 		}
@@ -88,7 +93,7 @@
 func (p *Pool) takeIdle(id string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.ends[id]
+	e := p.endpoints[id]
 	if e == nil || len(e.idle) == 0 {
 		return nil
 	}
@@ -97,12 +102,13 @@
 	return c
 }
 
-// Dial returns a new connection, for what must not share the fate of the open ones.
+// Dial returns a new connection, for uses that must not depend on the state of an open one. The
+// error is [ErrBusy] or [ErrNotSent].
 func (p *Pool) Dial(ctx context.Context, t Target) (*Conn, error) { return p.connect(ctx, t) }
 
 func (p *Pool) connect(ctx context.Context, t Target) (*Conn, error) {
 	if !p.reserve(t) {
-		return nil, ErrBusy.New("all %d connections to %s are in use", t.Connections, t.ID)
+		return nil, ErrBusy.New("all %d connections to %s are in use", t.MaxConnections, t.ID)
 	}
 	raw, err := p.dial(ctx, "tcp", t.Address)
 	if err != nil {
@@ -112,18 +118,18 @@
 		}
 		return nil, ErrNotSent.Wrap(err, "can't connect to %s at %s", t.ID, t.Address)
 	}
-	return &Conn{Conn: raw, pool: p, target: t, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &Conn{Conn: raw, pool: p, target: t, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
 func (p *Pool) reserve(t Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.ends[t.ID]
+	e := p.endpoints[t.ID]
 	if e == nil {
-		e = &end{}
-		p.ends[t.ID] = e
+		e = &endpointConns{}
+		p.endpoints[t.ID] = e
 	}
-	if t.Connections > 0 && e.open >= t.Connections {
+	if t.MaxConnections > 0 && e.open >= t.MaxConnections {
 		return false
 	}
 	e.open++
@@ -133,54 +139,56 @@
 func (p *Pool) release(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if e := p.ends[id]; e != nil {
+	if e := p.endpoints[id]; e != nil {
 		e.open--
 		if e.open <= 0 && len(e.idle) == 0 {
-			delete(p.ends, id)
+			delete(p.endpoints, id)
 		}
 	}
 }
 
-// Connections an endpoint did not give an idle time for are used again within defaultIdle: the
-// shortest idle time that endpoints are known to have, in whole seconds, less a margin.
-const defaultIdle = 800 * time.Millisecond
+// defaultIdleTimeout is how long a connection is reused if the endpoint states no idle timeout. It
+// is the shortest idle timeout that endpoints are known to have (they use whole seconds), less a
+// margin.
+const defaultIdleTimeout = 800 * time.Millisecond
 
-// keep returns a connection after an answer that ended cleanly. idle is the endpoint's own idle time;
-// 0 when it did not say.
-func (p *Pool) keep(c *Conn, idle time.Duration) {
-	if idle == 0 {
-		idle = defaultIdle
+// putIdle makes a connection available for reuse. idleTimeout is the idle timeout that the endpoint
+// states; 0 if it states none.
+func (p *Pool) putIdle(c *Conn, idleTimeout time.Duration) {
+	if idleTimeout == 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	// A fifth less than the endpoint says, so that a request does not cross its close.
-	c.idleUntil = time.Now().Add(idle - idle/5)
+	// A fifth less, so that the endpoint does not close the connection while a request is on its way.
+	c.reuseUntil = time.Now().Add(idleTimeout - idleTimeout/5)
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.ends[c.target.ID]
+	e := p.endpoints[c.target.ID]
 	if e == nil {
-		e = &end{open: 1}
-		p.ends[c.target.ID] = e
+		e = &endpointConns{open: 1}
+		p.endpoints[c.target.ID] = e
 	}
 	e.idle = append(e.idle, c)
 }
 
-// Retain closes the idle connections to endpoints that keep does not want, and those that the
-// endpoints are about to close.
+// Retain closes idle connections that their endpoint is about to close, and those to endpoints for
+// which keep returns false.
 func (p *Pool) Retain(keep func(id string) bool) {
 	now := time.Now()
-	for _, c := range p.expired(now, keep) {
+	for _, c := range p.takeExpired(now, keep) {
 		c.Discard()
 	}
 }
 
-func (p *Pool) expired(now time.Time, keep func(id string) bool) []*Conn {
+// takeExpired removes the connections that [Pool.Retain] closes from the pool, and returns them.
+func (p *Pool) takeExpired(now time.Time, keep func(id string) bool) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*Conn
-	for id, e := range p.ends {
+	for id, e := range p.endpoints {
 		kept := e.idle[:0]
 		for _, c := range e.idle {
-			if keep(id) && now.Before(c.idleUntil) {
+			if keep(id) && now.Before(c.reuseUntil) {
 				kept = append(kept, c)
 				continue
 			}
@@ -191,7 +199,7 @@
 	return out
 }
 
-// Discard closes the connection for good. It may be called at any time, also twice.
+// Discard closes the connection. It may be called at any time and more than once.
 func (c *Conn) Discard() {
 	c.closed.Do(func() {
 		_ = c.Conn.Close()
@@ -199,10 +207,11 @@
 	})
 }
 
-// Keep returns a connection on which nothing was sent.
-func (c *Conn) Keep() { c.pool.keep(c, 0) }
+// PutBack returns a connection to the pool on which nothing was sent.
+func (c *Conn) PutBack() { c.pool.putIdle(c, 0) }
 
-// Closed tells whether the endpoint closes a connection on which nothing was sent, within a time.
+// Closed reports whether the endpoint closes the connection within the given time. Nothing may have
+// been sent on the connection.
 func (c *Conn) Closed(within time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := c.reader.Peek(1)
@@ -210,5 +219,5 @@
 	return err != nil && !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// Reused tells that the connection served a request before.
+// Reused reports whether the connection has served a request before.
 func (c *Conn) Reused() bool { return c.reused }
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// server answers each connection by a script.
+// server accepts connections and leaves it to the test what to answer on each.
 type server struct {
 	listener net.Listener
 	conns    chan net.Conn
@@ -40,7 +40,7 @@
 
 func (s *server) target() Target { return Target{ID: "e1", Address: s.listener.Addr().String()} }
 
-func pool() *Pool {
+func newPool() *Pool {
 	return NewPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, network, address)
@@ -49,13 +49,13 @@
 
 const idHeader = "X-Id"
 
-func mine(_ int, h http.Header) bool { return h.Get(idHeader) == "1" }
+func matchesID(_ int, h http.Header) bool { return h.Get(idHeader) == "1" }
 
-func get() *Request {
+func newRequest() *Request {
 	return &Request{Method: http.MethodGet, Target: "/a?b=%2F", Host: "h.example", Header: http.Header{"X-One": {"1"}}}
 }
 
-const whole = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
 
 // serve takes the next connection, reads the head of a request and writes text.
 func (s *server) serve(t *testing.T, text string) net.Conn {
@@ -77,22 +77,23 @@
 	assert.NilError(t, err)
 }
 
-// TestAnswers: what an exchange makes of each kind of answer, and whether its connection is used again.
+// TestAnswers checks the result of an exchange for each kind of answer, and whether its connection
+// is reused. Reuse after an unclear end would give one request the answer to another.
 func TestAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		text  string
-		close func(net.Conn)
-		body  string
-		fails bool // there is no whole answer
-		again bool // the connection is used again
+		text   string
+		close  func(net.Conn)
+		body   string
+		fails  bool // there is no complete answer
+		reused bool // the connection is reused
 	}{
-		"whole":                    {whole, nil, "ok", false, true},
+		"whole":                    {okAnswer, nil, "ok", false, true},
 		"chunks":                   {"HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", nil, "ok", false, true},
 		"says that it closes":      {"HTTP/1.1 200 OK\r\nX-Id: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", nil, "ok", false, false},
-		"continue first":           {"HTTP/1.1 100 Continue\r\n\r\n" + whole, nil, "ok", false, true},
-		"another's first":          {"HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother" + whole, nil, "ok", false, true},
+		"continue first":           {"HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, nil, "ok", false, true},
+		"another's first":          {"HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother" + okAnswer, nil, "ok", false, true},
 		"others only":              {strings.Repeat("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother", 3), nil, "", true, false},
-		"more than asked for":      {whole + "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 0\r\n\r\n", nil, "ok", false, false},
+		"more than asked for":      {okAnswer + "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 0\r\n\r\n", nil, "ok", false, false},
 		"ends with its connection": {"HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nok", func(c net.Conn) { _ = c.Close() }, "ok", false, false},
 		"reset": {"HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nok", func(c net.Conn) {
 			time.Sleep(20 * time.Millisecond)
@@ -105,7 +106,7 @@
 		"bytes of no sense": {"\x00\x01\x02\r\n\r\n", func(c net.Conn) { _ = c.Close() }, "", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, p, ctx := newServer(t), pool(), context.Background()
+			s, p, ctx := newServer(t), newPool(), context.Background()
 			conn, err := p.Get(ctx, s.target())
 			assert.NilError(t, err)
 			go func() {
@@ -123,13 +124,13 @@
 			time.Sleep(20 * time.Millisecond)
 			next, err := p.Get(ctx, s.target())
 			assert.NilError(t, err)
-			assert.Equal(t, next.Reused(), c.again)
+			assert.Equal(t, next.Reused(), c.reused)
 		})
 	}
 }
 
 func exchange(ctx context.Context, conn *Conn) (string, error) {
-	x, err := conn.Do(ctx, get(), mine)
+	x, err := conn.Do(ctx, newRequest(), matchesID)
 	if err != nil {
 		return "", err
 	}
@@ -142,18 +143,19 @@
 	return string(body), nil
 }
 
-// TestIdleConnections: one that the endpoint closed, or on which something came, is not used again.
+// TestIdleConnections checks that an idle connection is not reused if the endpoint closed it or
+// sent bytes on it.
 func TestIdleConnections(t *testing.T) {
 	for name, disturb := range map[string]func(net.Conn){
 		"closed":        func(c net.Conn) { _ = c.Close() },
 		"unasked bytes": func(c net.Conn) { _, _ = io.WriteString(c, "x") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, p, ctx := newServer(t), pool(), context.Background()
+			s, p, ctx := newServer(t), newPool(), context.Background()
 			conn, err := p.Get(ctx, s.target())
 			assert.NilError(t, err)
 			served := make(chan net.Conn, 1)
-			go func() { served <- s.serve(t, whole) }()
+			go func() { served <- s.serve(t, okAnswer) }()
 			_, err = exchange(ctx, conn)
 			assert.NilError(t, err)
 			disturb(<-served)
@@ -165,16 +167,17 @@
 	}
 }
 
-// TestEarlyAnswer: an endpoint refuses a long request before it has read it. The rest of the body is owed
-// on that connection, so nothing else may be sent there.
+// TestEarlyAnswer covers an endpoint that refuses a long request before it has read all of it. The
+// endpoint still expects the rest of the body on that connection, so no other request may be sent
+// there.
 func TestEarlyAnswer(t *testing.T) {
-	s, p, ctx := newServer(t), pool(), context.Background()
+	s, p, ctx := newServer(t), newPool(), context.Background()
 	conn, err := p.Get(ctx, s.target())
 	assert.NilError(t, err)
-	go s.serve(t, whole)
-	r := get()
+	go s.serve(t, okAnswer)
+	r := newRequest()
 	r.Method, r.Length, r.Body = http.MethodPost, 64<<20, io.LimitReader(zeros{}, 64<<20)
-	x, err := conn.Do(ctx, r, mine)
+	x, err := conn.Do(ctx, r, matchesID)
 	assert.NilError(t, err)
 	_, err = io.ReadAll(x)
 	assert.NilError(t, err)
@@ -189,9 +192,9 @@
 func (zeros) Read(b []byte) (int, error) { return len(b), nil }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	s, p, ctx := newServer(t), pool(), context.Background()
+	s, p, ctx := newServer(t), newPool(), context.Background()
 	target := s.target()
-	target.Connections = 2
+	target.MaxConnections = 2
 	first, err := p.Get(ctx, target)
 	assert.NilError(t, err)
 	_, err = p.Get(ctx, target)
@@ -207,15 +210,16 @@
 }
 
 func TestNoConnectionMeansNotSent(t *testing.T) {
-	s, p := newServer(t), pool()
+	s, p := newServer(t), newPool()
 	_ = s.listener.Close()
 	_, err := p.Get(context.Background(), s.target())
 	assert.Assert(t, errorx.IsOfType(err, ErrNotSent))
 }
 
-// TestCallerLeaves: the endpoint sees its connection close.
-func TestCallerLeaves(t *testing.T) {
-	s, p := newServer(t), pool()
+// TestCancelClosesConnection checks that the endpoint sees its connection close when the caller's
+// context ends.
+func TestCancelClosesConnection(t *testing.T) {
+	s, p := newServer(t), newPool()
 	ctx, cancel := context.WithCancel(context.Background())
 	conn, err := p.Get(ctx, s.target())
 	assert.NilError(t, err)
@@ -226,7 +230,7 @@
 		_, err := io.Copy(io.Discard, c)
 		ended <- err
 	}()
-	_, err = conn.Do(ctx, get(), mine)
+	_, err = conn.Do(ctx, newRequest(), matchesID)
 	assert.Assert(t, errorx.IsOfType(err, ErrLost))
 	select {
 	case <-ended:
@@ -235,10 +239,10 @@
 	}
 }
 
-func TestIdleTime(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"timeout=5": 5 * time.Second, "timeout=5, max=3": 5 * time.Second, "max=3, Timeout=2": 2 * time.Second, "": 0, "timeout=x": 0,
 	} {
-		assert.Equal(t, idleTime(http.Header{"Keep-Alive": {text}}), want, text)
+		assert.Equal(t, keepAliveTimeout(http.Header{"Keep-Alive": {text}}), want, text)
 	}
 }
