--- a/gateway/clock/age_test.go
+++ b/gateway/clock/age_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAges: what is sent comes back, and nothing that overflows or lies in the future.
+// TestAges checks that an encoded age decodes to the same value, that a negative age becomes 0, and
+// that an age that would overflow is bounded.
 func TestAges(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Millisecond, time.Hour, MaxAge} {
 		assert.Equal(t, DecodeAge(EncodeAge(d)), d)
--- a/gateway/clock/clock.go
+++ b/gateway/clock/clock.go
@@ -1,5 +1,8 @@
-// Package clock reads the clock that also runs while the machine is suspended. Go's own monotonic
-// clock stops then, so what it calls fresh may be hours old after a wake-up.
+// Package clock reads a clock that also runs while the machine is suspended, and encodes ages for
+// other instances.
+//
+// Go's own monotonic clock stops during a suspension, so that data could be hours older than that
+// clock says.
 package clock
 
 import (
@@ -8,14 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now reads a clock that also runs while the machine is suspended. Tests in virtual time give their own.
-type Now func() time.Duration
+// Func reads a clock that also runs while the machine is suspended, as [Boot] does. It returns the
+// time since some fixed moment. Tests in virtual time use a function of their own.
+type Func func() time.Duration
 
-// Boot returns the time since the machine started, suspension included.
+// Boot returns the time since the machine booted, including suspensions (CLOCK_BOOTTIME).
 func Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Duration(time.Now().UnixNano()) // never on Linux: the clock exists since 2.6.39
+		return time.Duration(time.Now().UnixNano()) // not reached on Linux, which has the clock since 2.6.39
 	}
 	return time.Duration(ts.Nano())
 }
--- a/gateway/exchange/exchange.go
+++ b/gateway/exchange/exchange.go
@@ -67,7 +67,7 @@
 	// Uses returns what this instance has counted, by service.
 	Uses func() map[string]limits.RetryCounts
 	// Clock also runs while the machine is suspended.
-	Clock clock.Now
+	Clock clock.Func
 	Log   *logrus.Entry
 	Scope tally.Scope
 }
--- a/gateway/follow/loop.go
+++ b/gateway/follow/loop.go
@@ -46,7 +46,7 @@
 	Mirror *Mirror
 	// Wait is how long a watch waits.
 	Wait time.Duration
-	Now  clock.Now
+	Now  clock.Func
 	Log  *logrus.Entry
 }
 
--- a/gateway/follow/mirror.go
+++ b/gateway/follow/mirror.go
@@ -16,7 +16,7 @@
 // ask for is the same. Revisions are the store's own, so a follower can change from one source to another
 // at any time. It is safe for concurrent use.
 type Mirror struct {
-	now clock.Now
+	now clock.Func
 	// stale returns the age from which what is known is not told any more.
 	stale func() time.Duration
 	mu    sync.Mutex
@@ -51,7 +51,7 @@
 
 // NewMirror returns a mirror that knows nothing. It does not tell what it knows once that is older than
 // stale: those who follow have to learn within their own bounds that this instance is cut off.
-func NewMirror(now clock.Now, stale func() time.Duration) *Mirror {
+func NewMirror(now clock.Func, stale func() time.Duration) *Mirror {
 	return &Mirror{now: now, stale: stale, kinds: map[string]*mirrored{}}
 }
 
--- a/gateway/forward/budget.go
+++ b/gateway/forward/budget.go
@@ -12,7 +12,7 @@
 // other what they counted. Safe for concurrent use.
 type budgets struct {
 	set     limits.RetryWindowSettings
-	now     clock.Now
+	now     clock.Func
 	mu      sync.Mutex
 	windows map[string]*limits.RetryWindow
 }
@@ -26,7 +26,7 @@
 	kept = 0.15
 )
 
-func newBudgets(s *Settings, now clock.Now) *budgets {
+func newBudgets(s *Settings, now clock.Func) *budgets {
 	set := limits.RetryWindowSettings{Share: s.RetryShare, Reserve: s.RetryReserve, Length: s.RetryWindow, Margin: margin, RecoveryMargin: kept}
 	return &budgets{set: set, now: now, windows: map[string]*limits.RetryWindow{}}
 }
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -107,7 +107,7 @@
 	// Rollouts are the moves of services to other builds; nil for none.
 	Rollouts Rollouts
 	// Clock also runs while the machine is suspended.
-	Clock clock.Now
+	Clock clock.Func
 	// Ended is called with the id of an endpoint whose address answered for another one.
 	Ended func(id ...string)
 	Log   Log
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -87,7 +87,7 @@
 type Environment struct {
 	Network network.Network
 	// Clock also runs while the machine is suspended.
-	Clock clock.Now
+	Clock clock.Func
 	// Out takes the log lines.
 	Out io.Writer
 }
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -30,7 +30,7 @@
 	Pool     *peers.Pool
 	// Changed is called when the store stops or begins to answer this instance.
 	Changed func()
-	Clock   clock.Now
+	Clock   clock.Func
 	Log     *logrus.Entry
 }
 
--- a/gateway/rollouts/rollouts.go
+++ b/gateway/rollouts/rollouts.go
@@ -38,7 +38,7 @@
 	// Tell makes the others learn at once.
 	Tell func()
 	// Clock also runs while the machine is suspended.
-	Clock clock.Now
+	Clock clock.Func
 	Log   *logrus.Entry
 	Scope tally.Scope
 }
