--- a/gateway/crashes/broadcast.go
+++ b/gateway/crashes/broadcast.go
@@ -53,7 +53,7 @@
 		if r.broadcastNews() {
 			wait = rebroadcastDelay
 		}
-		if !pause.Until(ctx, wait, r.wake) || !pause.For(ctx, broadcastGap) {
+		if !pause.UntilWoken(ctx, wait, r.wake) || !pause.For(ctx, broadcastGap) {
 			return
 		}
 	}
--- a/gateway/crashes/store.go
+++ b/gateway/crashes/store.go
@@ -57,7 +57,7 @@
 		r.loadStops(ctx, 0)
 		req, wait := r.nextWrite()
 		if wait > 0 {
-			pause.Until(ctx, wait, r.storeWake)
+			pause.UntilWoken(ctx, wait, r.storeWake)
 			continue
 		}
 		r.writeStop(ctx, req)
--- a/gateway/forward/accept.go
+++ b/gateway/forward/accept.go
@@ -55,7 +55,7 @@
 	if left <= 0 || f.Settings.Without.FirstLook {
 		return
 	}
-	pause.Until(ctx, left, f.Known)
+	pause.UntilWoken(ctx, left, f.Known)
 }
 
 // accept finds out where a request may go. The configuration has to be known, and for a request with a
--- a/gateway/pause/pause.go
+++ b/gateway/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause waits for a time, and returns early if a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends; it tells whether all of d has passed.
+// For waits for d, or until ctx ends. It returns true if all of d has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,7 +18,8 @@
 	}
 }
 
-// Every calls do each time that d has passed, until ctx ends. A call that takes longer than d delays the next ones.
+// Every calls do at intervals of d until ctx ends. The first call comes after d. A call that takes
+// longer than d delays the following ones, and ticks that are missed meanwhile are dropped.
 func Every(ctx context.Context, d time.Duration, do func()) {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
@@ -32,13 +33,14 @@
 	}
 }
 
-// Until waits for d, until woken, or until ctx ends. It returns false when ctx has ended.
-func Until[T any](ctx context.Context, d time.Duration, woken <-chan T) bool {
+// UntilWoken waits until wake delivers a value or is closed, but at most for d. It returns false if
+// ctx has ended, which also ends the wait.
+func UntilWoken[T any](ctx context.Context, d time.Duration, wake <-chan T) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-woken:
+	case <-wake:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
--- a/gateway/rollouts/run.go
+++ b/gateway/rollouts/run.go
@@ -40,7 +40,7 @@
 		for _, w := range due {
 			go r.write(ctx, w)
 		}
-		pause.Until(ctx, wait, r.wake)
+		pause.UntilWoken(ctx, wait, r.wake)
 	}
 }
 
