--- a/cli/caller/caller.go
+++ b/cli/caller/caller.go
@@ -60,7 +60,7 @@
 		opt.Network = network.TCP{}
 	}
 	const connect = time.Second
-	t := &http.Transport{DialContext: network.Within(opt.Network, connect), DisableKeepAlives: true}
+	t := &http.Transport{DialContext: network.DialerWithTimeout(opt.Network, connect), DisableKeepAlives: true}
 	return &Client{opt: opt, http: &http.Client{Transport: t}, bad: map[string]time.Time{}}
 }
 
--- a/gateway/endpoint/engine.go
+++ b/gateway/endpoint/engine.go
@@ -28,7 +28,7 @@
 
 // NewClient returns a client whose connections have to come about within connect.
 func NewClient(connect time.Duration, n network.Network) *Client {
-	dial := network.Within(n, connect)
+	dial := network.DialerWithTimeout(n, connect)
 	single := &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}
 	pooled := &http.Transport{DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 32, IdleConnTimeout: 20 * time.Second}
 	return &Client{single: &http.Client{Transport: single}, pooled: &http.Client{Transport: pooled}}
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -163,9 +163,9 @@
 // build makes the parts and joins them.
 func (f *Front) build(l *listeners) {
 	s, t := f.settings, f.telemetry
-	dial := network.Within(f.env.Network, s.Streams.Connect)
+	dial := network.DialerWithTimeout(f.env.Network, s.Streams.Connect)
 	f.decisions = decisions.New(t.Log)
-	f.store = platform.NewStore(s.Store.Address, s.Store.Timeout, network.Within(f.env.Network, s.Store.Timeout))
+	f.store = platform.NewStore(s.Store.Address, s.Store.Timeout, network.DialerWithTimeout(f.env.Network, s.Store.Timeout))
 	f.store.Observe(f.countCall)
 	view := routing.DefaultSettings()
 	view.Choices = choices
--- a/gateway/network/memnet/memnet.go
+++ b/gateway/network/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory for tests in virtual time. Its nodes can crash, be cut off from
-// each other (connections go silent, new ones hang), and have their open connections go silent for good
-// while new ones work.
+// Package memnet is a network in memory for tests in virtual time. A test can crash its nodes, cut
+// the links between them (open connections go silent, new ones hang), and make open connections
+// silent for good while new ones work.
 package memnet
 
 import (
@@ -20,8 +20,8 @@
 	conns     map[*conn]bool
 	packets   map[string]*packetConn
 	crashed   map[string]bool
-	hosts     map[string]string // of nodes that listen, by name
-	cut       func(a, b string) bool
+	hosts     map[string]string      // of nodes that listen, by node name
+	cut       func(a, b string) bool // whether data from a to b is lost
 	port      int
 }
 
@@ -34,21 +34,21 @@
 	}
 }
 
-// Node returns the network as a node sees it.
+// Node returns the network as seen by the node with this name.
 func (n *Net) Node(name string) *Node { return &Node{n, name} }
 
-// Node is the network as one node sees it.
+// Node is the network as one node sees it. It implements the network of package network.
 type Node struct {
 	net  *Net
 	name string
 }
 
 type listener struct {
-	node   *Node
-	at     addr
-	accept chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	node    *Node
+	address addr
+	accept  chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 type addr string
@@ -58,7 +58,7 @@
 
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 
-// Listen implements the network of the project.
+// Listen listens for connections on an address; port 0 takes a free port.
 func (m *Node) Listen(address string) (net.Listener, error) {
 	n := m.net
 	n.mu.Lock()
@@ -72,7 +72,7 @@
 		port = fmt.Sprint(20000 + n.port)
 	}
 	address = net.JoinHostPort(host, port)
-	l := &listener{node: m, at: addr(address), accept: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{node: m, address: addr(address), accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	n.hosts[m.name] = host
 	return l, nil
@@ -92,15 +92,16 @@
 	n := l.node.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.listeners[string(l.at)] == l {
-		delete(n.listeners, string(l.at))
+	if n.listeners[string(l.address)] == l {
+		delete(n.listeners, string(l.address))
 	}
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return l.at }
+func (l *listener) Addr() net.Addr { return l.address }
 
-// Dial implements the network of the project.
+// Dial connects to an address. It fails at once if this node has crashed or nothing listens there.
+// It blocks until ctx ends if the link to that node is cut.
 func (m *Node) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n := m.net
 	n.mu.Lock()
@@ -152,7 +153,8 @@
 func (c *conn) LocalAddr() net.Addr  { return c.net.addressOf(c.from) }
 func (c *conn) RemoteAddr() net.Addr { return c.net.addressOf(c.to) }
 
-// addressOf returns the address of a node's end of a connection: its host where it listens, with any port.
+// addressOf returns an address for a node's end of a connection: the host it listens on, with a
+// fixed port.
 func (n *Net) addressOf(node string) net.Addr {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,15 +165,14 @@
 	return addr(host + ":1")
 }
 
-// Write swallows what is written while the connection is silent or cut: the bytes are lost
-// on the way, and the writer does not notice.
+// Write drops the data if the connection is silent or its link is cut. The writer is not told.
 func (c *conn) Write(b []byte) (int, error) {
 	c.net.mu.Lock()
 	lost := c.net.cut(c.from, c.to)
 	c.net.mu.Unlock()
 	c.mu.Lock()
 	lost = lost || c.silent
-	c.silent = lost // a stream with a hole is of no use any more
+	c.silent = lost // after a gap in the stream, later data must not arrive
 	c.mu.Unlock()
 	if lost {
 		return len(b), nil
@@ -188,7 +189,7 @@
 	c.mu.Lock()
 	silent := c.silent
 	c.mu.Unlock()
-	if silent { // the other end does not hear of it
+	if silent { // the other end must not notice the close
 		go func() {
 			time.Sleep(time.Hour)
 			_ = c.Conn.Close()
@@ -198,7 +199,7 @@
 	return c.Conn.Close()
 }
 
-func (n *Net) each(f func(*conn)) {
+func (n *Net) forEachConn(f func(*conn)) {
 	n.mu.Lock()
 	all := make([]*conn, 0, len(n.conns))
 	for c := range n.conns {
@@ -210,14 +211,15 @@
 	}
 }
 
-// SetCrashed says whether a node may connect.
+// SetCrashed sets whether a node has crashed. A crashed node can't connect, and datagrams from and
+// to it are lost.
 func (n *Net) SetCrashed(name string, crashed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.crashed[name] = crashed
 }
 
-// Crash closes all connections and listeners of a node.
+// Crash marks a node as crashed and closes all its connections and listeners.
 func (n *Net) Crash(name string) {
 	n.SetCrashed(name, true)
 	n.mu.Lock()
@@ -231,16 +233,16 @@
 	for _, l := range ls {
 		_ = l.Close()
 	}
-	n.each(func(c *conn) {
+	n.forEachConn(func(c *conn) {
 		if c.from == name || c.to == name {
 			_ = c.Conn.Close()
 		}
 	})
 }
 
-// Silence makes the open connections between two nodes silent for good.
+// Silence makes the open connections between two nodes silent for good. New connections work.
 func (n *Net) Silence(a, b string) {
-	n.each(func(c *conn) {
+	n.forEachConn(func(c *conn) {
 		if c.from == a && c.to == b || c.from == b && c.to == a {
 			c.mu.Lock()
 			c.silent = true
@@ -249,12 +251,13 @@
 	})
 }
 
-// Partition cuts nodes for which side differs; nil heals.
+// Partition cuts the links between nodes for which side returns different values. Nil removes all
+// cuts.
 func (n *Net) Partition(side func(name string) int) {
 	n.SetCut(func(a, b string) bool { return side != nil && side(a) != side(b) })
 }
 
-// SetCut sets which nodes are cut off from each other.
+// SetCut replaces the function that reports whether the link from node a to node b is cut.
 func (n *Net) SetCut(cut func(a, b string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -270,13 +273,13 @@
 	for _, l := range ls {
 		_ = l.Close()
 	}
-	n.each(func(c *conn) { _ = c.Conn.Close() })
+	n.forEachConn(func(c *conn) { _ = c.Conn.Close() })
 }
 
-// AddCut cuts more nodes off from each other, besides those that are.
+// AddCut cuts further links and keeps those that are cut already.
 func (n *Net) AddCut(cut func(a, b string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	before := n.cut
-	n.cut = func(a, b string) bool { return before(a, b) || cut(a, b) }
+	previous := n.cut
+	n.cut = func(a, b string) bool { return previous(a, b) || cut(a, b) }
 }
--- a/gateway/network/memnet/packet.go
+++ b/gateway/network/memnet/packet.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// packetsAhead is how many datagrams wait for a slow reader; more are lost. A socket's usual buffer of 212 kB holds about
-// as many of the small ones that instances send.
-const packetsAhead = 256
+// maxQueuedPackets is how many datagrams wait for a slow reader; further ones are lost. A socket's
+// usual buffer of 212 kB holds about as many of the small datagrams that instances send.
+const maxQueuedPackets = 256
 
-// packetConn receives datagrams. Those between nodes that are cut off from each other, or to a node that
-// has crashed, are lost.
+// packetConn sends and receives datagrams. Those between nodes whose link is cut, and those from or
+// to a crashed node, are lost.
 type packetConn struct {
-	node   *Node
-	at     string
-	in     chan packet
-	closed chan struct{}
-	once   sync.Once
+	node    *Node
+	address string
+	queue   chan packet
+	closed  chan struct{}
+	once    sync.Once
 }
 
 type packet struct {
@@ -26,9 +26,9 @@
 	from net.Addr
 }
 
-// ListenPacket implements the network of the project.
+// ListenPacket listens for datagrams on an address.
 func (m *Node) ListenPacket(address string) (net.PacketConn, error) {
-	c := &packetConn{node: m, at: address, in: make(chan packet, packetsAhead), closed: make(chan struct{})}
+	c := &packetConn{node: m, address: address, queue: make(chan packet, maxQueuedPackets), closed: make(chan struct{})}
 	m.net.mu.Lock()
 	defer m.net.mu.Unlock()
 	m.net.packets[address] = c
@@ -38,7 +38,7 @@
 // ReadFrom implements [net.PacketConn].
 func (c *packetConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case p := <-c.in:
+	case p := <-c.queue:
 		return copy(b, p.data), p.from, nil
 	case <-c.closed:
 		return 0, nil, net.ErrClosed
@@ -56,7 +56,7 @@
 		return len(b), nil
 	}
 	select {
-	case other.in <- packet{append([]byte(nil), b...), c.LocalAddr()}:
+	case other.queue <- packet{append([]byte(nil), b...), c.LocalAddr()}:
 	default:
 	}
 	return len(b), nil
@@ -70,14 +70,14 @@
 
 // LocalAddr implements [net.PacketConn].
 func (c *packetConn) LocalAddr() net.Addr {
-	return net.UDPAddrFromAddrPort(netip.MustParseAddrPort(c.at))
+	return net.UDPAddrFromAddrPort(netip.MustParseAddrPort(c.address))
 }
 
-// SetDeadline implements [net.PacketConn]; there are none.
+// SetDeadline implements [net.PacketConn]. It does nothing.
 func (c *packetConn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline implements [net.PacketConn]; there are none.
+// SetReadDeadline implements [net.PacketConn]. It does nothing.
 func (c *packetConn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements [net.PacketConn]; there are none.
+// SetWriteDeadline implements [net.PacketConn]. It does nothing.
 func (c *packetConn) SetWriteDeadline(time.Time) error { return nil }
--- a/gateway/network/network.go
+++ b/gateway/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how processes listen and connect: over TCP, or in tests over a
-// network in memory that can lose, cut and pause.
+// Package network is how processes listen and connect: over TCP and UDP, or in tests over a network
+// in memory that can lose data and cut connections (package memnet).
 package network
 
 import (
@@ -10,15 +10,15 @@
 
 // Network listens and connects. Implementations are safe for concurrent use.
 type Network interface {
-	// Listen listens on an address; port 0 takes a free one.
+	// Listen listens for connections on an address; port 0 takes a free port.
 	Listen(address string) (net.Listener, error)
 	// ListenPacket listens for datagrams on an address.
 	ListenPacket(address string) (net.PacketConn, error)
-	// Dial connects; a connection that can't come about is a *net.OpError with Op "dial".
+	// Dial connects. Its errors may be of any type; [DialerWithTimeout] wraps them.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the real network.
+// TCP is the network of the operating system, with TCP for connections and UDP for datagrams.
 type TCP struct{}
 
 // Listen implements [Network].
@@ -35,13 +35,14 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// DialFunc is the form in which net/http takes a dialer.
+// DialFunc is the type of function that net/http takes to dial.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Within returns a dialer that gives up after d.
-func Within(n Network, d time.Duration) DialFunc {
+// DialerWithTimeout returns a dialer that fails after timeout. All its errors are of type
+// *net.OpError with Op "dial".
+func DialerWithTimeout(n Network, timeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, d)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		conn, err := n.Dial(ctx, network, address)
 		if err != nil {
--- a/gateway/peers/peers.go
+++ b/gateway/peers/peers.go
@@ -56,7 +56,7 @@
 		return c
 	}
 	t := &http.Transport{
-		DialContext:         network.Within(p.network, p.timeout),
+		DialContext:         network.DialerWithTimeout(p.network, p.timeout),
 		MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, Protocols: new(http.Protocols),
 	}
 	t.Protocols.SetUnencryptedHTTP2(true) // compressed headers: heartbeats are small
--- a/gateway/platform/objects.go
+++ b/gateway/platform/objects.go
@@ -37,7 +37,7 @@
 func NewObjects(base string, timeout time.Duration, n network.Network) *Objects {
 	address := strings.TrimSuffix(strings.TrimPrefix(base, "http://"), "/")
 	// Shorter than a call, so that a connection that never came about is told from a lost answer.
-	return &Objects{store: store.NewStore(address, timeout, network.Within(n, timeout/2))}
+	return &Objects{store: store.NewStore(address, timeout, network.DialerWithTimeout(n, timeout/2))}
 }
 
 // Store returns the store itself, for what lies there without an envelope.
