--- a/gateway/forward/accept.go
+++ b/gateway/forward/accept.go
@@ -55,7 +55,7 @@
 	if left <= 0 || f.Settings.Disabled.FirstLook {
 		return
 	}
-	pause.Until(ctx, left, f.Synced)
+	pause.UntilWoken(ctx, left, f.Synced)
 }
 
 // accept resolves the route, team and deadline of a request. The configuration has to be known, and
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -112,7 +112,7 @@
 	}
 	a.sentAt = time.Now()
 	a.potentialLoss = s.req.loss(e)
-	a.potentialLoss.Served, a.potentialLoss.Urgent = s.reportedProgress, s.relayedEvents > 0
+	a.potentialLoss.Served, a.potentialLoss.Async = s.reportedProgress, s.relayedEvents > 0
 	a.send = platform.Send{
 		Endpoint: e.RequestName(), Left: s.req.timeLeft(time.Now()), Team: s.req.teamName(), Rank: s.req.priority,
 		LastEvent: s.lastEventID, CopyFrom: resumeFrom.Address, CopyName: resumeFrom.Handle, CopyTo: s.placeCopy(e),
@@ -184,7 +184,7 @@
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
 	if a.isRetry && !s.f.takeRetry(s.req.service, a.resumesFromCopy()) {
-		conn.Keep()
+		conn.PutBack()
 		return a.failWithoutBudget()
 	}
 	a.potentialLoss.SentAt, a.potentialLoss.Reused = time.Now(), conn.Reused()
@@ -222,11 +222,11 @@
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
 	if a.gaveUpOnSilence.Load() {
-		a.session.f.judge.BlameSilence(a.potentialLoss)
+		a.session.f.judge.AttributeSilence(a.potentialLoss)
 	}
 	if ctx.Err() == nil {
 		a.recordLoss()
-		a.session.f.judge.Blame(ctx, &a.session.req.losses, a.potentialLoss)
+		a.session.f.judge.Attribute(ctx, &a.session.req.losses, a.potentialLoss)
 	}
 	return message{kind: attemptFailed, failure: generation.Broken, err: err}
 }
@@ -272,8 +272,8 @@
 		if err != nil {
 			return a.classifyLoss(ctx, err)
 		}
-		if a.potentialLoss.EventAt.IsZero() {
-			a.potentialLoss.EventAt = time.Now()
+		if a.potentialLoss.FirstEventAt.IsZero() {
+			a.potentialLoss.FirstEventAt = time.Now()
 		}
 		a.report(ctx, message{kind: attemptEvent, raw: e.raw, id: e.id, hasID: e.hasID})
 	}
--- a/gateway/forward/budget.go
+++ b/gateway/forward/budget.go
@@ -12,7 +12,7 @@
 // counts. It is safe for concurrent use.
 type retryBudgets struct {
 	settings limits.RetryWindowSettings
-	now      clock.Now
+	now      clock.Func
 	mu       sync.Mutex
 	windows  map[string]*limits.RetryWindow
 }
@@ -28,7 +28,7 @@
 	recoveryRetryShare = 0.15
 )
 
-func newRetryBudgets(s *Settings, now clock.Now) *retryBudgets {
+func newRetryBudgets(s *Settings, now clock.Func) *retryBudgets {
 	settings := limits.RetryWindowSettings{Share: s.RetryShare, Reserve: s.RetryReserve, Length: s.RetryWindow, Margin: retryBudgetMargin, RecoveryMargin: recoveryRetryShare}
 	return &retryBudgets{settings: settings, now: now, windows: map[string]*limits.RetryWindow{}}
 }
--- a/gateway/forward/crashes.go
+++ b/gateway/forward/crashes.go
@@ -123,7 +123,7 @@
 	admission := s.f.Crashes.Admit(s.req.identity, s.req.service, s)
 	switch {
 	case admission.Verdict == crashers.Stopped:
-		s.machine.Failed(now, attempt, generation.Stopped, admission.Left)
+		s.machine.Failed(now, attempt, generation.Stopped, admission.Remaining)
 		return false
 	case admission.Busy:
 		s.machine.Failed(now, attempt, generation.NoEndpoint, 0)
@@ -148,10 +148,10 @@
 // [crashes.TriedAfter], and clears the request after [crashes.ServedAfter].
 func (s *session) recordServingTime(now time.Time) {
 	servingTime := now.Sub(s.firstEventAt)
-	if servingTime >= crashes.TriedAfter {
+	if servingTime >= crashes.TrialDuration {
 		s.endCrashTrial()
 	}
-	if !s.reportedProgress && servingTime >= crashes.ServedAfter {
+	if !s.reportedProgress && servingTime >= crashes.ProgressAfter {
 		s.reportedProgress = true
 		s.f.Crashes.Progressed(s.req.identity)
 	}
@@ -189,7 +189,7 @@
 		admission := p.f.Crashes.Admit(p.req.identity, p.req.service, p)
 		switch {
 		case admission.Verdict == crashers.Stopped:
-			return p.f.refuseStopped(p.req, admission.Left)
+			return p.f.refuseStopped(p.req, admission.Remaining)
 		case !admission.Busy:
 			return nil
 		}
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -113,7 +113,7 @@
 	// Rollouts selects builds while services move to another build; nil means no rollouts.
 	Rollouts Rollouts
 	// Clock also advances while the machine is suspended.
-	Clock clock.Now
+	Clock clock.Func
 	// OnEndpointReplaced is called with the id of an endpoint whose address now belongs to another
 	// one.
 	OnEndpointReplaced func(id ...string)
@@ -127,7 +127,7 @@
 type Forwarder struct {
 	Options
 	retryBudgets    *retryBudgets
-	judge           crashes.Judge
+	judge           crashes.Attributor
 	promptLocations promptLocations
 	locator         promptLocator
 	waitQueues      waitQueues
@@ -169,7 +169,7 @@
 	}
 	f.shutdownCtx, f.cancelRequests = context.WithCancel(context.Background())
 	if crashRecords != nil {
-		f.judge = crashes.Judge{Ended: crashRecords.Ended, HasEnded: f.processHasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.DataCentreFailures}
+		f.judge = crashes.Attributor{Record: crashRecords.Ended, HasCrashed: f.processHasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.DataCentreFailures}
 	}
 	return f
 }
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -275,7 +275,7 @@
 		trial.Late(time.Since(loss.SentAt))
 	}
 	if ctx.Err() == nil {
-		p.f.judge.Blame(ctx, &p.req.losses, loss)
+		p.f.judge.Attribute(ctx, &p.req.losses, loss)
 	}
 	return outcomeUnknown
 }
@@ -321,10 +321,10 @@
 	if n, err := relayBody(p.w, a.unread); err != nil {
 		a.unread.Abort()
 		if n > 0 {
-			a.potentialLoss.EventAt = a.potentialLoss.HeadAt
+			a.potentialLoss.FirstEventAt = a.potentialLoss.HeadAt
 		}
 		if ctx := p.req.httpRequest.Context(); ctx.Err() == nil {
-			p.f.judge.Blame(ctx, &p.req.losses, a.potentialLoss)
+			p.f.judge.Attribute(ctx, &p.req.losses, a.potentialLoss)
 		}
 		p.f.Log.Refusal(p.req.ID, "answer broke off", logrus.Fields{"error": err.Error()})
 		panic(http.ErrAbortHandler)
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -64,7 +64,7 @@
 	pool          *upstream.Pool
 	forwarder     *forward.Forwarder
 	exchange      *exchange.Exchange
-	crashes       *crashes.Register
+	crashes       *crashes.Registry
 	// rollouts and orders are nil where services are not moved to other builds.
 	rollouts *rollouts.Register
 	orders   *follow.Rollouts
@@ -87,7 +87,7 @@
 type Environment struct {
 	Network network.Network
 	// Clock also runs while the machine is suspended.
-	Clock clock.Now
+	Clock clock.Func
 	// Out takes the log lines.
 	Out io.Writer
 }
@@ -163,9 +163,9 @@
 // build makes the parts and joins them.
 func (f *Front) build(l *listeners) {
 	s, t := f.settings, f.telemetry
-	dial := network.Within(f.env.Network, s.Streams.Connect)
+	dial := network.DialerWithTimeout(f.env.Network, s.Streams.Connect)
 	f.decisions = decisions.New(t.Log)
-	f.store = platform.NewStore(s.Store.Address, s.Store.Timeout, network.Within(f.env.Network, s.Store.Timeout))
+	f.store = platform.NewStore(s.Store.Address, s.Store.Timeout, network.DialerWithTimeout(f.env.Network, s.Store.Timeout))
 	f.store.Observe(f.countCall)
 	view := routing.DefaultSettings()
 	view.Choices = choices
@@ -182,11 +182,11 @@
 	f.buildRollouts(following)
 	f.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: f.store,
-		Met:       func() <-chan struct{} { return f.exchange.Met() },
-		Instances: func() (int, int) { return f.exchange.Instances() },
-		Tell:      func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
-		Stopped:   func(r crashers.Request) { f.forwarder.StopRequest(r) },
-		Log:       t.Log, Scope: t.Scope,
+		Discovered: func() <-chan struct{} { return f.exchange.Met() },
+		Instances:  func() (int, int) { return f.exchange.Instances() },
+		Broadcast:  func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
+		OnStopped:  func(r crashers.Request) { f.forwarder.StopRequest(r) },
+		Log:        t.Log, Scope: t.Scope,
 	})
 	f.exchange = exchange.New(exchange.Options{
 		Self: exchange.Peer{
