--- a/gateway/crashes/store.go
+++ b/gateway/crashes/store.go
@@ -69,7 +69,7 @@
 // read learns which stops are kept, from another instance or from the store.
 func (r *Register) read(ctx context.Context, wait time.Duration) {
 	for ; !r.isComplete() && pause.For(ctx, wait) && !r.isComplete(); wait = readAgain/2 + rand.N(3*readAgain) {
-		page, err := r.Store.List(ctx, platform.KindStopped)
+		page, err := r.Store.List(ctx, platform.KindStoppedRequest)
 		if err != nil {
 			r.Log.WithError(err).Warn("stopped requests not read yet")
 			continue
@@ -174,10 +174,10 @@
 	name := hex.EncodeToString(req.Content[:])
 	spec, err := json.Marshal(stopEntry{Team: req.Team, Service: f.Service, Times: s.Count, At: s.At.UTC(), Until: s.Until.UTC()})
 	if err == nil && s.Count > 0 {
-		_, err = r.Store.Create(ctx, platform.KindStopped, name, spec)
+		_, err = r.Store.Create(ctx, platform.KindStoppedRequest, name, spec)
 		switch {
 		case platform.IsConflict(err) && s.Count > 1:
-			_, err = r.Store.Replace(ctx, platform.KindStopped, name, spec, 0)
+			_, err = r.Store.Replace(ctx, platform.KindStoppedRequest, name, spec, 0)
 		case platform.IsConflict(err): // another instance was first
 			err = nil
 		}
@@ -198,7 +198,7 @@
 func (r *Register) unstore(req crashers.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeLate)
 	defer cancel()
-	if err := r.Store.Delete(ctx, platform.KindStopped, hex.EncodeToString(req.Content[:]), 0); err != nil {
+	if err := r.Store.Delete(ctx, platform.KindStoppedRequest, hex.EncodeToString(req.Content[:]), 0); err != nil {
 		r.log(req, nil).WithError(err).Warn("stop not taken out of the store")
 	}
 }
--- a/gateway/follow/loop.go
+++ b/gateway/follow/loop.go
@@ -122,7 +122,7 @@
 // proved returns a time at which there certainly was nothing newer than the answer to a watch. The answer was made
 // no sooner than it was held back after the watch began.
 func (l *loop) proved(began time.Duration, page *platform.Page) time.Duration {
-	return began + page.Held - page.Age
+	return began + page.MinWait - page.Age
 }
 
 // patience returns how long the next watch waits: hardly at all while the store does not answer, so that
--- a/gateway/forward/accept.go
+++ b/gateway/forward/accept.go
@@ -20,7 +20,7 @@
 
 // request is a caller's request and what has been decided about it so far.
 type request struct {
-	platform.Call
+	platform.ClientRequest
 	httpRequest *http.Request
 	arrivedAt   time.Time
 	deadline    time.Time // zero when neither caller nor route sets one
@@ -61,7 +61,7 @@
 // accept resolves the route, team and deadline of a request. The configuration has to be known, and
 // for a request with a key it must have been confirmed recently.
 func (f *Forwarder) accept(r *http.Request, arrivedAt time.Time) (*request, *refusal) {
-	req := &request{Call: platform.ReadCall(r.Header), httpRequest: r, arrivedAt: arrivedAt, rolloutDraw: randomFraction()}
+	req := &request{ClientRequest: platform.ReadClientRequest(r.Header), httpRequest: r, arrivedAt: arrivedAt, rolloutDraw: randomFraction()}
 	if refused := f.resolve(req); refused != nil {
 		return req, refused
 	}
@@ -125,7 +125,7 @@
 }
 
 func (req *request) setDeadline() {
-	timeout := req.Wait
+	timeout := req.Timeout
 	if t := req.route.Timeout; t > 0 && (timeout == 0 || t < timeout) {
 		timeout = t
 	}
@@ -137,10 +137,10 @@
 // timeLeft returns how much longer the caller waits, at least 1 ms; 0 when the caller gave no
 // limit.
 func (req *request) timeLeft(now time.Time) time.Duration {
-	if req.Wait == 0 {
+	if req.Timeout == 0 {
 		return 0
 	}
-	return max(req.Wait-now.Sub(req.arrivedAt), time.Millisecond)
+	return max(req.Timeout-now.Sub(req.arrivedAt), time.Millisecond)
 }
 
 // teamName returns the name of the request's team; empty for public routes.
@@ -155,10 +155,10 @@
 // sends the same prompt again, for example after its connection was lost, gets the same key. It
 // returns 0 when there is no prompt.
 func (req *request) promptKey() uint64 {
-	if len(req.Parts) == 0 {
+	if len(req.PromptParts) == 0 {
 		return 0
 	}
-	return req.Parts[len(req.Parts)-1].ID
+	return req.PromptParts[len(req.PromptParts)-1].ID
 }
 
 // maxBufferedBody is the number of body bytes kept in memory for retries. Larger bodies are
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -66,7 +66,7 @@
 	session  *session
 	number   int
 	endpoint routing.Endpoint
-	send     platform.Send
+	send     platform.EndpointRequest
 	header   http.Header // of the engine's answer; set before the first event is reported
 	cancel   context.CancelFunc
 
@@ -113,9 +113,9 @@
 	a.sentAt = time.Now()
 	a.potentialLoss = s.req.loss(e)
 	a.potentialLoss.Served, a.potentialLoss.Urgent = s.reportedProgress, s.relayedEvents > 0
-	a.send = platform.Send{
-		Endpoint: e.RequestName(), Left: s.req.timeLeft(time.Now()), Team: s.req.teamName(), Rank: s.req.priority,
-		LastEvent: s.lastEventID, CopyFrom: resumeFrom.Address, CopyName: resumeFrom.Handle, CopyTo: s.placeCopy(e),
+	a.send = platform.EndpointRequest{
+		EndpointName: e.RequestName(), TimeLeft: s.req.timeLeft(time.Now()), Team: s.req.teamName(), Priority: s.req.priority,
+		LastEventID: s.lastEventID, CopyFrom: resumeFrom.Address, CopyHandle: resumeFrom.Handle, CopyTo: s.placeCopy(e),
 	}
 	a.rolloutTrial = s.f.Rollouts.Begin(s.req.route.Name, e)
 	s.attempts[number] = a
@@ -204,7 +204,7 @@
 	case !signals.Signed:
 		return message{kind: attemptFailed, failure: generation.Broken, err: errUnsigned}
 	}
-	a.header = platform.ToClient(x.Header())
+	a.header = platform.HeadersToClient(x.Header())
 	a.potentialLoss.HeadAt = time.Now()
 	m := a.relayEvents(ctx, x)
 	m.headAt = a.potentialLoss.HeadAt
--- a/gateway/forward/copies.go
+++ b/gateway/forward/copies.go
@@ -202,7 +202,7 @@
 }
 
 func (f *Forwarder) copyMemory(ctx context.Context, id string, from, to *routing.Endpoint) (string, error) {
-	body, err := platform.EncodeCopy(id, to.Address)
+	body, err := platform.EncodeCopyRequest(id, to.Address)
 	if err != nil {
 		return "", err
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return "", err
 	}
-	return platform.DecodeCopy(raw)
+	return platform.DecodeCopyHandle(raw)
 }
 
 // handleCopyResult handles the end of a requested copy.
@@ -237,7 +237,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), freeCopyTimeout)
 		defer cancel()
 		// The engine drops a copy that is not freed after its TTL.
-		if _, err := f.callEngine(ctx, &e, http.MethodDelete, platform.FreePath(h.Handle), nil); err != nil {
+		if _, err := f.callEngine(ctx, &e, http.MethodDelete, platform.FreeCopyPath(h.Handle), nil); err != nil {
 			f.Log.Decision(s.req.ID, "copy not freed", logrus.Fields{"endpoint": e.ID, "error": err.Error()})
 		}
 	}()
--- a/gateway/forward/deadline.go
+++ b/gateway/forward/deadline.go
@@ -39,7 +39,7 @@
 	if req.deadline.IsZero() {
 		return nil
 	}
-	work := limits.StreamWork{PrefillTokens: req.PromptTokens, OutputTokens: req.OutputTokens, DeliveredEvents: eventsReceived(req.LastEvent)}
+	work := limits.StreamWork{PrefillTokens: req.PromptTokens, OutputTokens: req.MaxOutputTokens, DeliveredEvents: eventsReceived(req.LastEventID)}
 	if prefilled {
 		work.PrefillTokens = 0
 	}
@@ -69,6 +69,6 @@
 func (s *session) observeStream() {
 	events, gaps := eventsReceived(s.lastEventID), s.relayedEvents-1
 	s.f.streamTimes.update(s.req.service, func(t *limits.StreamTimes) {
-		t.ObserveStream(s.req.OutputTokens, events, gaps, s.lastEventAt.Sub(s.firstEventAt))
+		t.ObserveStream(s.req.MaxOutputTokens, events, gaps, s.lastEventAt.Sub(s.firstEventAt))
 	})
 }
--- a/gateway/forward/locate.go
+++ b/gateway/forward/locate.go
@@ -100,7 +100,7 @@
 		// first.
 		ctx, cancel := context.WithTimeout(context.Background(), locateTimeout)
 		defer cancel()
-		raw, err := f.callEngine(ctx, e, http.MethodGet, platform.HeldPath, nil)
+		raw, err := f.callEngine(ctx, e, http.MethodGet, platform.HeldPromptsPath, nil)
 		if err != nil {
 			return // an engine that does not answer in time is no candidate
 		}
@@ -110,7 +110,7 @@
 }
 
 func (f *Forwarder) recordHeldPrompts(id string, raw []byte) {
-	prompts, err := platform.DecodeHeld(raw)
+	prompts, err := platform.DecodeHeldPrompts(raw)
 	if err != nil {
 		f.Log.Refusal("", "malformed list of prompts", logrus.Fields{"endpoint": id, "error": err.Error()})
 		return
--- a/gateway/forward/outcome.go
+++ b/gateway/forward/outcome.go
@@ -41,7 +41,7 @@
 // recordLoad records the load that an answer reports for its endpoint.
 func (f *Forwarder) recordLoad(id string, a *platform.Answer) {
 	if a.HasLoad {
-		f.Placement.RecordLoad(id, a.Load.Running, a.Load.Waiting)
+		f.Placement.RecordLoad(id, a.Load.Running, a.Load.Queued)
 	}
 }
 
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -222,8 +222,8 @@
 	defer trial.Left(false)
 	f.Placement.Sent(e.ID, routing.Placed{})
 	defer f.Placement.Finished(e.ID, routing.Placed{})
-	x, err := conn.Do(ctx, req.upstreamRequest(&platform.Send{
-		Endpoint: e.RequestName(), Left: req.timeLeft(time.Now()), Team: req.teamName(), Rank: -1,
+	x, err := conn.Do(ctx, req.upstreamRequest(&platform.EndpointRequest{
+		EndpointName: e.RequestName(), TimeLeft: req.timeLeft(time.Now()), Team: req.teamName(), Priority: -1,
 	}), req.ownsAnswer)
 	if err != nil {
 		return nil, p.classifyLoss(ctx, loss, trial, err), err
@@ -309,7 +309,7 @@
 // deliver writes an answer to the caller. If the answer breaks off on the way, it panics with
 // [http.ErrAbortHandler] to close the connection.
 func (p *plain) deliver(a *answer) {
-	copyHeader(p.w.Header(), platform.ToClient(a.header))
+	copyHeader(p.w.Header(), platform.HeadersToClient(a.header))
 	p.w.WriteHeader(a.status)
 	if _, err := p.w.Write(a.body); err != nil && a.unread != nil {
 		a.unread.Abort()
--- a/gateway/forward/probe.go
+++ b/gateway/forward/probe.go
@@ -23,7 +23,7 @@
 		s.machine.Probed(time.Now(), p.Attempt, false, 0)
 		return
 	}
-	countEvents := s.relayedEvents == 0 && s.req.LastEvent == ""
+	countEvents := s.relayedEvents == 0 && s.req.LastEventID == ""
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.f.Settings.ProbeTimeout)
 		defer cancel()
@@ -35,7 +35,7 @@
 		placed := s.f.Placement.PlacedAt(a.endpoint.ID)
 		s.f.Log.Decision(s.req.ID, "engine probed", logrus.Fields{
 			"endpoint": a.endpoint.ID, "alive": m.alive, "events": m.events, "error": errorText(err),
-			"running": report.Running, "waiting": report.Waiting, "used": report.Used, "placed": placed.Open, "placed_tokens": placed.Tokens,
+			"running": report.Running, "waiting": report.Queued, "used": report.UsedTokens, "placed": placed.Open, "placed_tokens": placed.Tokens,
 			"unread": placed.PendingPrefill,
 		})
 		a.report(s.ctx, m)
@@ -45,8 +45,8 @@
 // mayStillHave reports whether an engine may still have a request, and how many events it has made
 // for it. An engine that restarted since it was listed has lost the request, and what was known
 // about the engine is dropped.
-func (f *Forwarder) mayStillHave(e *routing.Endpoint, r *platform.Report, id string, countEvents bool) (bool, int) {
-	if e.StartedUnixMS != 0 && r.Born > e.StartedUnixMS {
+func (f *Forwarder) mayStillHave(e *routing.Endpoint, r *platform.EngineReport, id string, countEvents bool) (bool, int) {
+	if e.StartedUnixMS != 0 && r.StartedUnixMS > e.StartedUnixMS {
 		f.Placement.Forget(e.ID)
 		return false, 0
 	}
@@ -56,7 +56,7 @@
 // reportMayHold reports whether a request may be among those that a report lists, and how many
 // events the engine has made for it; 0 unless countEvents is set. An engine lists a request by id
 // from its first event on. Before that the request is one of those that wait or run without an id.
-func reportMayHold(r *platform.Report, id string, countEvents bool) (bool, int) {
+func reportMayHold(r *platform.EngineReport, id string, countEvents bool) (bool, int) {
 	for _, run := range r.Runs {
 		if run.ID != id {
 			continue
@@ -66,16 +66,16 @@
 		}
 		return true, 0
 	}
-	return r.Waiting > 0 || r.Running > len(r.Runs), 0
+	return r.Queued > 0 || r.Running > len(r.Runs), 0
 }
 
 // fetchReport fetches an engine's status report.
-func (f *Forwarder) fetchReport(ctx context.Context, a *attempt) (platform.Report, error) {
-	raw, err := f.callEngine(ctx, &a.endpoint, http.MethodGet, platform.ReportPath, nil)
+func (f *Forwarder) fetchReport(ctx context.Context, a *attempt) (platform.EngineReport, error) {
+	raw, err := f.callEngine(ctx, &a.endpoint, http.MethodGet, platform.EngineReportPath, nil)
 	if err != nil {
-		return platform.Report{}, err
+		return platform.EngineReport{}, err
 	}
-	return platform.DecodeReport(raw)
+	return platform.DecodeEngineReport(raw)
 }
 
 // callEngine sends a management call to an engine on a new connection, and returns the body of the
--- a/gateway/forward/progress.go
+++ b/gateway/forward/progress.go
@@ -115,7 +115,7 @@
 // writeHead sends the head of the answer, taken from the engine whose event is first.
 func (s *session) writeHead(a *attempt) {
 	s.f.metrics.firstEvent.RecordDuration(time.Since(s.req.arrivedAt))
-	if s.req.LastEvent != "" {
+	if s.req.LastEventID != "" {
 		s.f.metrics.callerResumed.RecordDuration(time.Since(s.req.arrivedAt))
 	}
 	if a != nil && a.header != nil {
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -63,11 +63,11 @@
 	}
 	f.metrics.accepted.Inc(1)
 	s := &session{
-		f: f, req: req, w: w, ctx: ctx, lastEventID: req.LastEvent,
+		f: f, req: req, w: w, ctx: ctx, lastEventID: req.LastEventID,
 		messages: make(chan message, messageBuffer), attempts: map[int]*attempt{}, done: make(chan struct{}),
 	}
 	s.copies = copies.New(s.copySettings())
-	if n, err := strconv.ParseUint(req.LastEvent, 10, 64); err == nil {
+	if n, err := strconv.ParseUint(req.LastEventID, 10, 64); err == nil {
 		s.firstID, s.firstIDKnown = n+1, true
 	}
 	now := time.Now()
@@ -83,7 +83,7 @@
 
 // admitStream waits until an engine has room for a stream, or returns a refusal.
 func (f *Forwarder) admitStream(ctx context.Context, req *request) *refusal {
-	resumed := req.LastEvent != ""
+	resumed := req.LastEventID != ""
 	if refused := f.refuseTooLate(req, resumed || f.Placement.HoldsPrompt(req.promptKey())); refused != nil {
 		return refused
 	}
@@ -241,7 +241,7 @@
 func (f *Forwarder) engineRequest(req *request) *routing.Request {
 	return &routing.Request{
 		Service: req.service, Model: req.Model, DataCentre: f.Settings.DataCentre, Key: req.ID,
-		Prefixes: []uint64{req.promptKey()}, Tokens: req.PromptTokens + req.OutputTokens, PromptTokens: req.PromptTokens, Weights: f.Settings.engineWeights(),
+		Prefixes: []uint64{req.promptKey()}, Tokens: req.PromptTokens + req.MaxOutputTokens, PromptTokens: req.PromptTokens, Weights: f.Settings.engineWeights(),
 		Builds: f.builds(req), PrefillWithin: req.prefillBudget(time.Now()),
 	}
 }
@@ -250,7 +250,7 @@
 // event is on time with a margin. It returns 0 when the route has no target latency, the target is
 // already missed, or the caller resumes a stream.
 func (req *request) prefillBudget(now time.Time) time.Duration {
-	if req.route.TargetLatency <= 0 || req.LastEvent != "" {
+	if req.route.TargetLatency <= 0 || req.LastEventID != "" {
 		return 0
 	}
 	left := req.route.TargetLatency - now.Sub(req.arrivedAt)
@@ -306,7 +306,7 @@
 }
 
 // peakTokens returns the memory that the stream needs at its largest, in tokens.
-func (s *session) peakTokens() int { return s.req.PromptTokens + s.req.OutputTokens }
+func (s *session) peakTokens() int { return s.req.PromptTokens + s.req.MaxOutputTokens }
 
 func (s *session) finish() {
 	if s.relayedEvents == 0 {
--- a/gateway/forward/target.go
+++ b/gateway/forward/target.go
@@ -21,11 +21,11 @@
 }
 
 // upstreamRequest builds the request that is sent to an endpoint.
-func (req *request) upstreamRequest(s *platform.Send) *upstream.Request {
+func (req *request) upstreamRequest(s *platform.EndpointRequest) *upstream.Request {
 	r := req.httpRequest
 	return &upstream.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host,
-		Header: platform.ToEndpoint(r.Header, req.ID, s),
+		Header: platform.HeadersToEndpoint(r.Header, req.ID, s),
 		Body:   req.bodyReader(), Length: req.upstreamLength(),
 	}
 }
--- a/gateway/front/serve.go
+++ b/gateway/front/serve.go
@@ -64,7 +64,7 @@
 const addressesMost = 64
 
 func (f *Front) answerResolve(w http.ResponseWriter, r *http.Request) {
-	place := platform.ReadPlace(r.URL.Query())
+	place := platform.ReadClientLocation(r.URL.Query())
 	addresses := f.exchange.Entry(place.DataCentre, place.Region)
 	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/gateway/relay/remote.go
+++ b/gateway/relay/remote.go
@@ -66,7 +66,7 @@
 
 func decode(resp *peerv1.WatchStoreResponse) platform.Page {
 	page := platform.Page{
-		Revision: resp.Revision, Age: time.Duration(resp.AgeMs) * time.Millisecond, Held: time.Duration(resp.HeldMs) * time.Millisecond,
+		Revision: resp.Revision, Age: time.Duration(resp.AgeMs) * time.Millisecond, MinWait: time.Duration(resp.HeldMs) * time.Millisecond,
 	}
 	for _, o := range resp.Objects {
 		page.Objects = append(page.Objects, platform.Object{
--- a/gateway/relay/store.go
+++ b/gateway/relay/store.go
@@ -56,7 +56,7 @@
 		return page, err
 	}
 	if took >= wait {
-		page.Held = wait // nothing came until the wait was over
+		page.MinWait = wait // nothing came until the wait was over
 	}
 	took = max(took-wait, 0)
 	s.relay.storeTook(took)
--- a/gateway/rollouts/rollouts.go
+++ b/gateway/rollouts/rollouts.go
@@ -157,8 +157,8 @@
 	s.revision = o.Revision
 	if s.order == nil || s.order.Order() != o.Order {
 		age := time.Duration(0)
-		if !o.Given.IsZero() {
-			age = max(time.Since(o.Given), 0)
+		if !o.GivenAt.IsZero() {
+			age = max(time.Since(o.GivenAt), 0)
 		}
 		s.order = rollout.New(r.Settings, o.Order, now, age, r.DataCentre)
 		s.given, s.withdrawn, s.writeAt, s.logged = time.Now().Add(-age), false, time.Time{}, rollout.Undecided
