--- a/cli/soak/callers.go
+++ b/cli/soak/callers.go
@@ -76,7 +76,7 @@
 	if !c.connect(ctx) {
 		return
 	}
-	patience := r.Wait + lateMost
+	patience := r.Timeout + lateMost
 	if a.left = c.rnd.IntN(leaveOneIn) == 0; a.left {
 		patience = time.Duration(10+c.rnd.IntN(1500)) * time.Millisecond
 	}
@@ -88,7 +88,7 @@
 	a.ended = time.Now()
 	a.left = a.left && wait.Err() != nil
 	c.reverted(a)
-	if a.err != nil || a.answer.Closes || !a.answer.Whole || a.answer.Status != http.StatusOK {
+	if a.err != nil || a.answer.CloseConnection || !a.answer.Complete || a.answer.Status != http.StatusOK {
 		c.conn.Close()
 		c.conn, c.seen = nil, 0
 	}
@@ -119,14 +119,14 @@
 			key = before
 		}
 	}
-	r := standin.Request{Method: http.MethodPost, Host: host, ID: id, Key: key, Body: "the case " + id, Wait: plainWait}
+	r := standin.Request{Method: http.MethodPost, Host: host, ID: id, Key: key, Body: "the case " + id, Timeout: plainWait}
 	a := &asked{id: id, key: key}
-	defer func() { a.wait, a.body = r.Wait, r.Body }()
+	defer func() { a.wait, a.body = r.Timeout, r.Body }()
 	if path, body := c.soak.world.fatals.draw(c.rnd); path != "" && c.rnd.IntN(fatalOneIn) == 0 {
 		askFatal(&r, a, path, body)
 		return r, a
 	}
-	r.Forged = c.rnd.IntN(4) == 0
+	r.ForgeHeaders = c.rnd.IntN(4) == 0
 	switch c.rnd.IntN(5) {
 	case 4:
 		if v := c.soak.world.lastRoute(); v > 1 {
@@ -134,7 +134,7 @@
 		}
 		r.Path, r.Key, a.key = versionPath(a.version)+"1", keptKey, keptKey
 	case 0:
-		r.Path, r.Wait, r.Prompt, r.Tokens = "/brief/1", streamWait, fmt.Sprintf("%x", id), promptSize
+		r.Path, r.Timeout, r.PromptID, r.PromptTokens = "/brief/1", streamWait, fmt.Sprintf("%x", id), promptSize
 	case 1:
 		r.Path = "/ping/1"
 	default:
@@ -148,7 +148,7 @@
 	r.Path, r.Body, r.Key, a.key = path, body, keptKey, keptKey
 	a.once = path == "/log/1"
 	if path == "/brief/1" {
-		r.Wait, r.Prompt, r.Tokens = streamWait, "fa7a1", promptSize
+		r.Timeout, r.PromptID, r.PromptTokens = streamWait, "fa7a1", promptSize
 	}
 }
 
@@ -161,7 +161,7 @@
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	c.at = c.rnd.IntN(len(c.soak.world.processes))
-	conn, err := standin.Open(ctx, dial, c.soak.world.processes[c.at].callers)
+	conn, err := standin.Connect(ctx, dial, c.soak.world.processes[c.at].callers)
 	if err != nil {
 		return false
 	}
@@ -179,7 +179,7 @@
 			return fmt.Sprintf("event %d is %q, not %q", i+1, e.Data, want)
 		}
 	}
-	if a.Whole && len(a.Events) != streamSize {
+	if a.Complete && len(a.Events) != streamSize {
 		return fmt.Sprintf("a stream that ended as whole has %d events", len(a.Events))
 	}
 	return ""
@@ -189,7 +189,7 @@
 func refusedAsNotRun(a *standin.Answer) bool {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return !strings.HasPrefix(a.Signed, "signed-by-")
+		return !strings.HasPrefix(a.Signature, "signed-by-")
 	}
 	return false
 }
--- a/cli/soak/fatal.go
+++ b/cli/soak/fatal.go
@@ -67,9 +67,9 @@
 		return "no more fatal requests", nil
 	}
 	inPrefill := r.IntN(4) == 0
-	w.fleet.SetFatal(&standin.Fatal{
-		Matches: func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }, InPrefill: inPrefill, After: fatalAfter,
-		End: w.fell,
+	w.fleet.SetFatalRequest(&standin.FatalRequest{
+		Matches: func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }, DuringPrefill: inPrefill, Delay: fatalAfter,
+		Terminate: w.fell,
 	})
 	return fmt.Sprintf("request %d to %s ends whoever runs it, in prefill: %v", w.fatals.add(path), path, inPrefill), nil
 }
--- a/cli/soak/faults.go
+++ b/cli/soak/faults.go
@@ -105,7 +105,7 @@
 }
 
 func storeOutage(w *world, r *rand.Rand) (string, func()) {
-	all := []standin.Outage{standin.Busy, standin.Many, standin.Reset, standin.Silent}
+	all := []standin.Outage{standin.Busy, standin.TooMany, standin.Reset, standin.Silent}
 	o := all[r.IntN(len(all))]
 	return "the store is away: " + string(o), w.harmStore(standin.Fault{Outage: o})
 }
@@ -116,18 +116,18 @@
 
 func storeForgets(w *world, _ *rand.Rand) (string, func()) {
 	w.harms.moment(theStore)
-	w.store.Forget()
+	w.store.ForgetHistory()
 	return "the store forgets its history", nil
 }
 
 func storeLoses(w *world, r *rand.Rand) (string, func()) {
-	return "the store loses answers", w.harmStore(standin.Fault{LoseWrites: 1 + r.IntN(3), LateMS: r.IntN(1000)})
+	return "the store loses answers", w.harmStore(standin.Fault{LoseWrites: 1 + r.IntN(3), LostWriteDelayMS: r.IntN(1000)})
 }
 
 func workerFails(w *world, r *rand.Rand) (string, func()) {
 	all := map[string]standin.WorkerFault{
-		"refuses": {Shed: true}, "fails": {Fail: true}, "loses answers": {LoseAnswer: true}, "breaks off": {Truncate: true},
-		"sends more than was asked for": {Extra: true}, "hangs": {Hang: true},
+		"refuses": {RefuseAll: true}, "fails": {FailAll: true}, "loses answers": {LoseAnswer: true}, "breaks off": {Truncate: true},
+		"sends more than was asked for": {ExtraAnswer: true}, "hangs": {Hang: true},
 	}
 	names := []string{"refuses", "fails", "loses answers", "breaks off", "sends more than was asked for", "hangs"}
 	k, how := w.workers[r.IntN(len(w.workers))], names[r.IntN(len(names))]
@@ -147,7 +147,7 @@
 	at := zone(r.IntN(dataCentres))
 	down := time.Duration(500+r.IntN(1000)) * time.Millisecond
 	for _, k := range w.workers {
-		if k.config.Zone == at && k.config.Prefill > 0 {
+		if k.config.DataCentre == at && k.config.PrefillTokensPerMS > 0 {
 			k.crash(down)
 		}
 	}
@@ -171,7 +171,7 @@
 func answersLost(w *world, _ *rand.Rand) (string, func()) {
 	set := func(f standin.WorkerFault) {
 		for _, k := range w.workers {
-			if k.config.Prefill == 0 {
+			if k.config.PrefillTokensPerMS == 0 {
 				k.setFault(f)
 			}
 		}
--- a/cli/soak/rollouts.go
+++ b/cli/soak/rollouts.go
@@ -56,7 +56,7 @@
 	if !w.rollouts.busy.CompareAndSwap(false, true) {
 		return "a rollout goes on", nil
 	}
-	faults := []standin.WorkerFault{{Part: 0.5, FailPart: true}, {Part: 0.3, FailPart: true}, {Part: 1, SlowTimes: 6}}
+	faults := []standin.WorkerFault{{AffectedFraction: 0.5, FailAffected: true}, {AffectedFraction: 0.3, FailAffected: true}, {AffectedFraction: 1, SlowFactor: 6}}
 	fault := faults[r.IntN(len(faults))]
 	o := &rolloutOrder{given: time.Now()}
 	var stops []func()
@@ -76,7 +76,7 @@
 			continue // no free port
 		}
 		cfg := k.config
-		cfg.ID, cfg.Version, cfg.Address = fmt.Sprintf("i-next-%d", i), nextBuild, l.Addr().String()
+		cfg.ID, cfg.Build, cfg.Address = fmt.Sprintf("i-next-%d", i), nextBuild, l.Addr().String()
 		worker := w.fleet.NewWorker(cfg)
 		worker.SetFault(fault)
 		o.workers, o.beside, stops = append(o.workers, worker), append(o.beside, k), append(stops, standin.Serve(l, worker))
@@ -86,7 +86,7 @@
 	w.mu.Unlock()
 	w.store.PutRollout(ordered, nextBuild, rolloutWithin)
 	go w.beatOrder(o, end)
-	return fmt.Sprintf("the plain service is to move to a build of which %.0f in 100 answers are bad", 100*fault.Part), nil
+	return fmt.Sprintf("the plain service is to move to a build of which %.0f in 100 answers are bad", 100*fault.AffectedFraction), nil
 }
 
 // beatOrder keeps the endpoints of an order listed until some time after its deadline.
@@ -94,7 +94,7 @@
 	defer end()
 	for time.Since(o.given) < rolloutWithin+rollBack {
 		for _, worker := range o.workers {
-			w.store.Put(platform.KindEndpoint, worker.Config().ID, worker.Entry("ready"))
+			w.store.Put(platform.KindEndpoint, worker.Config().ID, worker.Registration("ready"))
 		}
 		select {
 		case <-time.After(beat):
--- a/cli/soak/soak.go
+++ b/cli/soak/soak.go
@@ -190,13 +190,13 @@
 	if a.err != nil || a.answer.Status != http.StatusOK {
 		return
 	}
-	if r.Prompt != "" {
-		if wrong := whole(&a.answer, r.Prompt); wrong != "" {
+	if r.PromptID != "" {
+		if wrong := whole(&a.answer, r.PromptID); wrong != "" {
 			s.finding("stream %s: %s", a.id, wrong)
 		}
 		return
 	}
-	if a.answer.Whole && a.answer.Body != "answer to "+a.id {
+	if a.answer.Complete && a.answer.Body != "answer to "+a.id {
 		s.finding("request %s got %q", a.id, a.answer.Body)
 	}
 }
@@ -206,7 +206,7 @@
 	s.result.Asked++
 	now := s.figures.second(a.ended.Sub(s.began))
 	switch {
-	case a.err != nil || !a.answer.Whole:
+	case a.err != nil || !a.answer.Complete:
 		s.result.Unknown++
 		now.Unknown++
 	case a.answer.Status != http.StatusOK:
@@ -221,14 +221,14 @@
 
 // time records how long a request that was served took.
 func (s *soak) time(r *standin.Request, a *asked) {
-	if r.Prompt == "" {
+	if r.PromptID == "" {
 		record(s.figures.plain, a.ended.Sub(a.sent))
 		return
 	}
 	s.result.Streams++
 	if len(a.answer.Events) > 0 {
 		record(s.figures.firstEvent, a.answer.Events[0].At.Sub(a.sent))
-		record(s.figures.longestPause, a.answer.Longest())
+		record(s.figures.longestPause, a.answer.LongestGap())
 	}
 }
 
@@ -236,11 +236,11 @@
 func (s *soak) checkServed(ctx context.Context) {
 	for i, p := range s.world.processes {
 		for _, r := range []standin.Request{
-			{Path: "/ping/1", Wait: plainWait}, {Path: "/brief/1", Wait: streamWait, Prompt: "ca1f", Tokens: promptSize},
+			{Path: "/ping/1", Timeout: plainWait}, {Path: "/brief/1", Timeout: streamWait, PromptID: "ca1f", PromptTokens: promptSize},
 		} {
 			r.Method, r.Host, r.Key, r.ID = http.MethodPost, host, keptKey, fmt.Sprintf("calm-%d-%s", i, r.Path[1:5])
 			a, err := s.askAgainOnceUp(ctx, p, r)
-			if err != nil || a.Status != http.StatusOK || !a.Whole {
+			if err != nil || a.Status != http.StatusOK || !a.Complete {
 				s.finding("%s does not serve %s %v after the last fault: status %d, %v", p.name, r.Path, calm, a.Status, err)
 			}
 		}
@@ -251,7 +251,7 @@
 // end a few.
 func (s *soak) askAgainOnceUp(ctx context.Context, p *process, r standin.Request) (standin.Answer, error) {
 	a, err := standin.Do(ctx, dial, p.callers, r)
-	if err == nil && a.Status == http.StatusOK && a.Whole || s.world.allUp() {
+	if err == nil && a.Status == http.StatusOK && a.Complete || s.world.allUp() {
 		return a, err
 	}
 	for until := time.Now().Add(settle); time.Now().Before(until) && !s.world.allUp(); {
--- a/cli/soak/start_bench_test.go
+++ b/cli/soak/start_bench_test.go
@@ -37,19 +37,19 @@
 	assert.NilError(b, err)
 	p, err := newProcess(b.TempDir(), daemon(b), store.address(), 0, &w.ports, &w.harms, &options)
 	assert.NilError(b, err)
-	prompt := standin.Request{Method: http.MethodPost, Host: host, Path: "/brief/1", Key: keptKey, Body: "case", Wait: streamWait, Prompt: "ab", Tokens: promptSize}
+	prompt := standin.Request{Method: http.MethodPost, Host: host, Path: "/brief/1", Key: keptKey, Body: "case", Timeout: streamWait, PromptID: "ab", PromptTokens: promptSize}
 	var plain, stream time.Duration
 	refused := 0
 	for i := 0; b.Loop(); i++ {
 		began := time.Now()
 		assert.Assert(b, p.start())
-		ping := standin.Request{Method: http.MethodGet, Host: host, Path: "/ping/1", Key: keptKey, Wait: plainWait}
+		ping := standin.Request{Method: http.MethodGet, Host: host, Path: "/ping/1", Key: keptKey, Timeout: plainWait}
 		for firstAnswer(b, p.callers, ping).Status != http.StatusOK {
 			refused++
 		}
 		plain += time.Since(began)
 		if i > 0 { // the first one lets an engine read the prompt
-			prompt.LastEvent = 1
+			prompt.LastEventID = 1
 		}
 		a := firstAnswer(b, p.callers, prompt)
 		assert.Assert(b, len(a.Events) > 0)
--- a/cli/soak/world.go
+++ b/cli/soak/world.go
@@ -76,12 +76,12 @@
 	}
 	w.storeAddress, w.stopStore = l.Addr().String(), standin.Serve(l, w.store)
 	for i := range o.Engines {
-		if err := w.add(fmt.Sprint("e", i), standin.WorkerConfig{Service: "engines", Zone: zone(i), Slots: 16, Prefill: 20, Step: streamStep, Events: streamSize}); err != nil {
+		if err := w.add(fmt.Sprint("e", i), standin.WorkerConfig{Service: "engines", DataCentre: zone(i), Slots: 16, PrefillTokensPerMS: 20, EventInterval: streamStep, Events: streamSize}); err != nil {
 			return nil, err
 		}
 	}
 	for i := range o.Plain {
-		if err := w.add(fmt.Sprint("p", i), standin.WorkerConfig{Service: "plain", Zone: zone(i), Slots: 16, Work: o.Work}); err != nil {
+		if err := w.add(fmt.Sprint("p", i), standin.WorkerConfig{Service: "plain", DataCentre: zone(i), Slots: 16, WorkTime: o.Work}); err != nil {
 			return nil, err
 		}
 	}
@@ -239,7 +239,7 @@
 	k.mu.Lock()
 	if k.state == "ready" {
 		k.state = "draining"
-		k.world.store.Put(platform.KindEndpoint, k.now.Config().ID, k.now.Entry(k.state))
+		k.world.store.Put(platform.KindEndpoint, k.now.Config().ID, k.now.Registration(k.state))
 		k.leaving[k.now.Config().ID] = time.Now()
 	}
 	k.mu.Unlock()
@@ -251,7 +251,7 @@
 	for {
 		k.mu.Lock()
 		if k.state != "" {
-			k.world.store.Put(platform.KindEndpoint, k.now.Config().ID, k.now.Entry(k.state))
+			k.world.store.Put(platform.KindEndpoint, k.now.Config().ID, k.now.Registration(k.state))
 		}
 		k.mu.Unlock()
 		select {
--- a/cli/standin/platform/platform.go
+++ b/cli/standin/platform/platform.go
@@ -48,7 +48,7 @@
 
 // SetFault brings a fault about.
 func (p *Platform) SetFault(f Fault) {
-	out := standin.Fault{SlowMS: f.SlowMS, LoseWrites: f.LoseWrites, Spare: listKind}
+	out := standin.Fault{SlowMS: f.SlowMS, LoseWrites: f.LoseWrites, SpareKind: listKind}
 	if f.Down {
 		out.Outage = standin.Busy
 	}
--- a/gateway/front/configuration_test.go
+++ b/gateway/front/configuration_test.go
@@ -42,7 +42,7 @@
 // TestKeysNeedFreshKnowledge: while the store is away, a key that may have been taken away meanwhile is
 // not served beyond its bound of 5 s; what needs no key is. When the store is back, all is served again.
 func TestKeysNeedFreshKnowledge(t *testing.T) {
-	for _, outage := range []standin.Outage{standin.Busy, standin.Many, standin.Reset, standin.Silent} {
+	for _, outage := range []standin.Outage{standin.Busy, standin.TooMany, standin.Reset, standin.Silent} {
 		t.Run(string(outage), func(t *testing.T) {
 			run(t, 2, 1, 2, func(w *world) {
 				w.store.SetFault(standin.Fault{Outage: outage})
@@ -89,7 +89,7 @@
 func TestChangesAreInForce(t *testing.T) {
 	for name, before := range map[string]func(*world){
 		"calm":           func(*world) {},
-		"history gone":   func(w *world) { w.store.Forget() },
+		"history gone":   func(w *world) { w.store.ForgetHistory() },
 		"store was away": func(w *world) { w.store.SetFault(standin.Fault{Outage: standin.Reset}); time.Sleep(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/front/crashes_faults_test.go
+++ b/gateway/front/crashes_faults_test.go
@@ -32,7 +32,7 @@
 			}
 			work.Go(func() {
 				r := brief(fmt.Sprintf("%x", 0xc0000+i))
-				r.Key, r.Body, r.Tokens = team, fmt.Sprint(name, " ", i), 2000
+				r.Key, r.Body, r.PromptTokens = team, fmt.Sprint(name, " ", i), 2000
 				a, err := w.do(i%len(w.fronts), r)
 				if err != nil {
 					a.Body = err.Error()
@@ -53,7 +53,7 @@
 func served(answers []standin.Answer) int {
 	n := 0
 	for i := range answers {
-		if answers[i].Status == http.StatusOK && answers[i].Whole && len(answers[i].Events) == events {
+		if answers[i].Status == http.StatusOK && answers[i].Complete && len(answers[i].Events) == events {
 			n++
 		}
 	}
@@ -64,7 +64,7 @@
 // responsible, and all are served.
 func TestBystandersAreServed(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			end := w.steady(key, "bystander", 40*time.Millisecond)
 			time.Sleep(4 * time.Second) // some 85 are in progress
 			o.insist(fatalBrief(), 20, 700*time.Millisecond)
@@ -81,7 +81,7 @@
 // other requests have begun long ago, so this one is still found out within the settling time.
 func TestEngineEndsInPrefill(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{InPrefill: true}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{DuringPrefill: true}, func(o *outbreak) {
 			end := w.steady(key, "bystander", 40*time.Millisecond)
 			time.Sleep(4 * time.Second)
 			o.insist(fatalBrief(), 20, 700*time.Millisecond)
@@ -101,7 +101,7 @@
 		r.Path, r.Body, r.Method = strings.Replace(r.Path, "/1", "/2", 1), fatalBody, http.MethodPost
 		t.Run(name, func(t *testing.T) {
 			run(t, 9, 1, 12, func(w *world) {
-				w.outbreak(standin.Fatal{}, func(o *outbreak) {
+				w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 					o.insist(r, 20, 700*time.Millisecond)
 					w.t.Logf("%d endpoints ended", len(o.ended()))
 					assert.Assert(w.t, len(o.ended()) >= 3)
@@ -127,7 +127,7 @@
 	const losses = 20
 	run(t, 9, 24, 1, func(w *world) {
 		popular := brief("b0b")
-		popular.Body, popular.Tokens = "what everybody asks", 2000
+		popular.Body, popular.PromptTokens = "what everybody asks", 2000
 		var work sync.WaitGroup
 		stop := make(chan struct{})
 		for i := range 24 {
@@ -167,7 +167,7 @@
 // store was away when it was, and came back before they died.
 func TestStopsOutlastAllInstances(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			w.store.SetFault(standin.Fault{Outage: standin.Silent})
 			o.insist(fatalBrief(), 3, 700*time.Millisecond)
 			assert.Equal(w.t, len(o.ended()), 3)
@@ -190,7 +190,7 @@
 func TestLossOfAllBeforeTheStop(t *testing.T) {
 	const allowed = 3
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			for len(o.ended()) < 2 {
 				go func() { _, _ = o.do(0, fatalBrief()) }()
 				time.Sleep(600 * time.Millisecond)
@@ -208,7 +208,7 @@
 // know of it within the settling time.
 func TestInstancesThatWereAway(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			away := func(node string) bool { return node == "f1" || node == "f4" || node == "f7" || node == "f8" }
 			w.net.SetCut(func(a, b string) bool {
 				return away(a) && strings.HasPrefix(b, "f") && !away(b) || away(b) && strings.HasPrefix(a, "f") && !away(a)
@@ -237,7 +237,7 @@
 // does no harm any more it is served to all.
 func TestStoppedRequestIsTriedAgain(t *testing.T) {
 	run(t, 3, 12, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			o.insist(fatalBrief(), 3, 700*time.Millisecond)
 			assert.Equal(w.t, len(o.ended()), 3)
 			began := time.Now()
@@ -246,7 +246,7 @@
 				time.Sleep(7 * time.Second)
 			}
 			assert.Equal(w.t, len(o.ended()), 4, "one more in twelve minutes")
-			w.fleet.SetFatal(nil)
+			w.fleet.SetFatalRequest(nil)
 			time.Sleep(20 * time.Minute)
 			for i := range w.fronts {
 				a, err := o.do(i, fatalBrief())
@@ -260,7 +260,7 @@
 // TestOperatorReleases: an operator sees at any instance what is stopped, and lets it go at all of them and in the store.
 func TestOperatorReleases(t *testing.T) {
 	run(t, 3, 12, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			o.insist(fatalBrief(), 3, 700*time.Millisecond)
 			time.Sleep(time.Second)
 			s := w.fronts[1].State().Stopped
@@ -269,7 +269,7 @@
 			assert.Equal(w.t, s[0].Team, "desk")
 			assert.Equal(w.t, len(s[0].Endpoints), 3)
 			assert.Assert(w.t, s[0].Stored)
-			w.fleet.SetFatal(nil)
+			w.fleet.SetFatalRequest(nil)
 			release := standin.Request{Method: http.MethodPost, Host: "x", Path: "/stopped/" + s[0].Content + "/release"}
 			call := func() standin.Answer {
 				a, err := standin.Do(w.t.Context(), w.net.Node("operator").Dial, metricsAddress(2), release)
@@ -294,7 +294,7 @@
 func TestManyRequestsOfOneTeam(t *testing.T) {
 	const different = 300
 	run(t, 9, 24, 1, func(w *world) {
-		fatal := standin.Fatal{Matches: func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }}
+		fatal := standin.FatalRequest{Matches: func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }}
 		w.outbreak(fatal, func(o *outbreak) {
 			end := w.steady(keyOfField, "other", 100*time.Millisecond)
 			var work sync.WaitGroup
@@ -302,7 +302,7 @@
 				time.Sleep(200 * time.Millisecond)
 				work.Go(func() {
 					r := fatalBrief()
-					r.Body, r.Prompt = fmt.Sprint(fatalBody, n), fmt.Sprintf("%x", 0xd0000+n)
+					r.Body, r.PromptID = fmt.Sprint(fatalBody, n), fmt.Sprintf("%x", 0xd0000+n)
 					_, _ = o.do(n%len(w.fronts), r)
 				})
 			}
@@ -320,7 +320,7 @@
 	const size = 300 << 10
 	run(t, 3, 12, 1, func(w *world) {
 		same := func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }
-		w.outbreak(standin.Fatal{Matches: same}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{Matches: same}, func(o *outbreak) {
 			r := fatalBrief()
 			r.Body = fatalBody + strings.Repeat("x", size)
 			o.insist(r, 10, 700*time.Millisecond)
--- a/gateway/front/crashes_test.go
+++ b/gateway/front/crashes_test.go
@@ -42,7 +42,7 @@
 )
 
 // outbreak runs f while some requests are fatal.
-func (w *world) outbreak(fatal standin.Fatal, f func(*outbreak)) {
+func (w *world) outbreak(fatal standin.FatalRequest, f func(*outbreak)) {
 	o := &outbreak{world: w, fatals: map[string]*standin.Worker{}, down: map[int]bool{}}
 	for _, list := range [][]*standin.Worker{w.engines, w.plains} {
 		for _, e := range list {
@@ -52,8 +52,8 @@
 	if fatal.Matches == nil {
 		fatal.Matches = func(r *standin.Run) bool { return r.Body == fatalBody }
 	}
-	fatal.After, fatal.End = fatalAfter, o.end
-	w.fleet.SetFatal(&fatal)
+	fatal.Delay, fatal.Terminate = fatalAfter, o.end
+	w.fleet.SetFatalRequest(&fatal)
 	defer o.close()
 	f(o)
 }
@@ -208,7 +208,7 @@
 	}{{9, 24, settle}, {90, 90, settleLarge}} {
 		t.Run(fmt.Sprint(c.fronts), func(t *testing.T) {
 			run(t, c.fronts, c.engines, 1, func(w *world) {
-				w.outbreak(standin.Fatal{}, func(o *outbreak) {
+				w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 					answers := o.insist(fatalBrief(), 30, 700*time.Millisecond)
 					assert.Assert(w.t, len(o.ended()) >= 3)
 					w.t.Logf("%d engines ended, %d sends", len(o.ended()), len(o.sends()))
@@ -232,7 +232,7 @@
 	}{{30, 700 * time.Millisecond}, {8, 6 * time.Second}} {
 		t.Run(fmt.Sprint("each ", c.every), func(t *testing.T) {
 			run(t, 9, 24, 1, func(w *world) {
-				w.outbreak(standin.Fatal{AfterEvents: 30}, func(o *outbreak) {
+				w.outbreak(standin.FatalRequest{AfterEvents: 30}, func(o *outbreak) {
 					const pace = 400 * time.Millisecond
 					bystanders := o.bystanders(int(time.Duration(c.times)*c.every/pace), pace)
 					o.insist(fatalBrief(), c.times, c.every)
@@ -260,7 +260,7 @@
 // TestRequestThatSilencesEngines: the engines that begin a request fall silent, and connections to them hang.
 func TestRequestThatSilencesEngines(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.outbreak(standin.FatalRequest{}, func(o *outbreak) {
 			o.silent = true
 			o.insist(fatalBrief(), 30, 700*time.Millisecond)
 			o.t.Logf("%d engines fell silent, %d sends", len(o.ended()), len(o.sends()))
--- a/gateway/front/endpoints_test.go
+++ b/gateway/front/endpoints_test.go
@@ -18,7 +18,7 @@
 func TestLeavingEndpointsGetNoNewWork(t *testing.T) {
 	for name, leave := range map[string]func(*world){
 		"says so": func(w *world) {
-			w.store.Put(platform.KindEndpoint, w.plains[0].Config().ID, w.plains[0].Entry("draining"))
+			w.store.Put(platform.KindEndpoint, w.plains[0].Config().ID, w.plains[0].Registration("draining"))
 		},
 		"entry removed": func(w *world) { w.store.Remove(platform.KindEndpoint, w.plains[0].Config().ID) },
 	} {
@@ -50,7 +50,7 @@
 		time.Sleep(50 * time.Millisecond)
 		for i, e := range w.engines {
 			if cfg := e.Config(); cfg.ID == id {
-				cfg.Born = time.Now().UnixMilli()
+				cfg.StartedUnixMS = time.Now().UnixMilli()
 				w.engines = append(w.engines, w.worker(fmt.Sprint("e", i), strings.TrimPrefix(id, fmt.Sprint("i-e", i)), cfg))
 			}
 		}
@@ -70,7 +70,7 @@
 			whole(t, <-w.stream(i%2, brief(fmt.Sprint("b", i))), fmt.Sprint("b", i), 0)
 		}
 		for _, e := range w.engines {
-			assert.Equal(t, e.Refused(), 0)
+			assert.Equal(t, e.RefusedRequests(), 0)
 		}
 	})
 }
@@ -95,7 +95,7 @@
 			assert.Equal(t, a.Status, 200)
 		}
 		assert.Equal(t, len(worker.Runs()), 0)
-		assert.Assert(t, worker.Refused() <= 1, "the address was tried %d times", worker.Refused())
+		assert.Assert(t, worker.RefusedRequests() <= 1, "the address was tried %d times", worker.RefusedRequests())
 	})
 }
 
@@ -113,7 +113,7 @@
 		a, err := w.do(0, ping())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
-		w.store.Put(platform.KindEndpoint, w.plains[1].Config().ID, w.plains[1].Entry("ready"))
+		w.store.Put(platform.KindEndpoint, w.plains[1].Config().ID, w.plains[1].Registration("ready"))
 		time.Sleep(2 * time.Second)
 		before := len(w.plains[0].Runs())
 		for range 6 {
@@ -140,7 +140,7 @@
 		for round := range 2 {
 			for f := range fronts {
 				r := brief(fmt.Sprintf("%x", 0xb0+round*fronts+f))
-				r.Tokens = 300
+				r.PromptTokens = 300
 				streams = append(streams, w.stream(f, r))
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -149,6 +149,6 @@
 			assert.Equal(w.t, (<-s).Status, http.StatusOK)
 		}
 		assert.Equal(w.t, len(now.Runs()), 0)
-		assert.Assert(w.t, now.Refused() <= 2, "tried %d times", now.Refused())
+		assert.Assert(w.t, now.RefusedRequests() <= 2, "tried %d times", now.RefusedRequests())
 	})
 }
--- a/gateway/front/late_streams_test.go
+++ b/gateway/front/late_streams_test.go
@@ -16,7 +16,7 @@
 		for i := range 6 {
 			a, err := w.do(0, brief(fmt.Sprintf("%x", i+100)))
 			assert.NilError(t, err)
-			assert.Assert(t, a.Whole)
+			assert.Assert(t, a.Complete)
 		}
 		for i, c := range []struct {
 			name  string
@@ -31,11 +31,11 @@
 		} {
 			before, began := w.read(), time.Now()
 			r := brief(fmt.Sprintf("%x", i+200))
-			r.LastEvent, r.Wait = c.held, c.left
+			r.LastEventID, r.Timeout = c.held, c.left
 			a, err := w.do(0, r)
 			assert.NilError(t, err, c.name)
 			if c.whole {
-				whole(t, a, r.Prompt, c.held)
+				whole(t, a, r.PromptID, c.held)
 				continue
 			}
 			assert.Equal(t, a.Status, http.StatusServiceUnavailable, c.name)
--- a/gateway/front/overload_test.go
+++ b/gateway/front/overload_test.go
@@ -31,12 +31,12 @@
 		served, refused := 0, 0
 		for range callers {
 			switch a := <-answers; {
-			case a.Status == http.StatusOK && a.Whole && len(a.Events) == events:
+			case a.Status == http.StatusOK && a.Complete && len(a.Events) == events:
 				served++
 			case a.Status == http.StatusServiceUnavailable && a.RetryAfter != "" && a.Body != "late":
 				refused++
 			default:
-				t.Errorf("status %d, %d events, whole %v, %s", a.Status, len(a.Events), a.Whole, a.Body)
+				t.Errorf("status %d, %d events, whole %v, %s", a.Status, len(a.Events), a.Complete, a.Body)
 			}
 		}
 		assert.Assert(t, served >= 20, "%d served, %d refused", served, refused)
@@ -48,14 +48,14 @@
 func TestFullEnginesAreNotPressed(t *testing.T) {
 	run(t, 1, 3, 1, func(w *world) {
 		for _, e := range w.engines {
-			e.SetFault(standin.WorkerFault{Shed: true})
+			e.SetFault(standin.WorkerFault{RefuseAll: true})
 		}
 		a, err := w.do(0, brief("b1"))
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, http.StatusServiceUnavailable)
 		refused := 0
 		for _, e := range w.engines {
-			refused += e.Refused()
+			refused += e.RefusedRequests()
 		}
 		assert.Assert(t, refused <= 3*8, "%d tries", refused) // 1.5 s of tries, at each engine five a second
 	})
--- a/gateway/front/plain_test.go
+++ b/gateway/front/plain_test.go
@@ -31,18 +31,18 @@
 	}{
 		"once":                             {logLift(), fault{}, 0, 200, 1, true},
 		"idempotent":                       {ping(), fault{}, 0, 200, 1, true},
-		"once, refused by all":             {logLift(), fault{Shed: true}, 0, 503, 0, false},
-		"once, refused by some":            {logLift(), fault{Shed: true}, 1, 200, 1, true},
-		"once, failed":                     {logLift(), fault{Fail: true}, 0, 500, 1, true},
-		"idempotent, failed by all":        {ping(), fault{Fail: true}, 0, 500, 2, true},
+		"once, refused by all":             {logLift(), fault{RefuseAll: true}, 0, 503, 0, false},
+		"once, refused by some":            {logLift(), fault{RefuseAll: true}, 1, 200, 1, true},
+		"once, failed":                     {logLift(), fault{FailAll: true}, 0, 500, 1, true},
+		"idempotent, failed by all":        {ping(), fault{FailAll: true}, 0, 500, 2, true},
 		"once, answer lost":                {logLift(), fault{LoseAnswer: true}, 0, 502, 1, false},
 		"idempotent, answer lost by all":   {ping(), fault{LoseAnswer: true}, 0, 502, 2, false},
 		"once, broken off":                 {logLift(), fault{Truncate: true}, 0, 502, 1, false},
 		"idempotent, broken off by all":    {ping(), fault{Truncate: true}, 0, 502, 2, false},
 		"once, not signed":                 {logLift(), fault{Unsigned: true}, 0, 502, 1, false},
 		"once, nothing said":               {logLift(), fault{Hang: true}, 0, 504, 1, false},
-		"once, more than was asked for":    {logLift(), fault{Extra: true}, 0, 200, 1, true},
-		"idempotent, more than was wanted": {ping(), fault{Extra: true}, 0, 200, 1, true},
+		"once, more than was asked for":    {logLift(), fault{ExtraAnswer: true}, 0, 200, 1, true},
+		"idempotent, more than was wanted": {ping(), fault{ExtraAnswer: true}, 0, 200, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, 1, 3, func(w *world) {
@@ -54,10 +54,10 @@
 					a, err := w.do(0, r)
 					assert.NilError(t, err)
 					assert.Equal(t, a.Status, c.status)
-					assert.Equal(t, a.Signed != "", c.signed)
+					assert.Equal(t, a.Signature != "", c.signed)
 					assert.Equal(t, w.plainRuns(r.ID), c.runs)
 					assert.Equal(t, a.RetryAfter != "", c.status == 503)
-					assert.Assert(t, a.Whole)
+					assert.Assert(t, a.Complete)
 					if c.status == 200 {
 						assert.Equal(t, a.Body, "answer to "+r.ID)
 					}
@@ -71,7 +71,7 @@
 // TestIdempotentGoesElsewhere: one of three endpoints fails; the caller does not notice.
 func TestIdempotentGoesElsewhere(t *testing.T) {
 	for name, f := range map[string]standin.WorkerFault{
-		"fails": {Fail: true}, "loses": {LoseAnswer: true}, "breaks off": {Truncate: true},
+		"fails": {FailAll: true}, "loses": {LoseAnswer: true}, "breaks off": {Truncate: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, 1, 3, func(w *world) {
@@ -90,7 +90,7 @@
 func TestWhatIsPassedOn(t *testing.T) {
 	run(t, 1, 1, 1, func(w *world) {
 		r := logLift()
-		r.Forged, r.ID = true, w.id()
+		r.ForgeHeaders, r.ID = true, w.id()
 		a, err := w.do(0, r)
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
--- a/gateway/front/relay_test.go
+++ b/gateway/front/relay_test.go
@@ -158,7 +158,7 @@
 					w.store.SetFault(standin.Fault{Outage: outage, Hosts: hosts})
 					before := w.store.Counts()
 					for i := range 50 { // endpoints that come and go end each watch
-						w.store.Put(platform.KindEndpoint, fmt.Sprint("i-other", i), w.plains[5].Entry("draining"))
+						w.store.Put(platform.KindEndpoint, fmt.Sprint("i-other", i), w.plains[5].Registration("draining"))
 						time.Sleep(200 * time.Millisecond)
 						for f := range fronts {
 							assert.Assert(w.t, w.isReady(f), "instance %d after %d steps", f, i)
@@ -183,8 +183,8 @@
 		before := strings.Count(w.logs.String(), "source lost")
 		put := map[string]time.Time{}
 		for i := range 40 {
-			other := w.fleet.NewWorker(standin.WorkerConfig{ID: fmt.Sprint("i-other", i), Service: "plain", Slots: 1, Address: fmt.Sprintf("10.5.0.%d:80", i+1), Zone: "dc0"})
-			w.store.Put(platform.KindEndpoint, other.Config().ID, other.Entry("ready"))
+			other := w.fleet.NewWorker(standin.WorkerConfig{ID: fmt.Sprint("i-other", i), Service: "plain", Slots: 1, Address: fmt.Sprintf("10.5.0.%d:80", i+1), DataCentre: "dc0"})
+			w.store.Put(platform.KindEndpoint, other.Config().ID, other.Registration("ready"))
 			put[other.Config().ID] = time.Now()
 			time.Sleep(600 * time.Millisecond)
 			for f := range fronts {
--- a/gateway/front/return_test.go
+++ b/gateway/front/return_test.go
@@ -44,7 +44,7 @@
 			held[i] = len((<-got[i]).Events)
 			assert.Assert(t, held[i] > 0)
 			r := brief(prompt(i))
-			r.LastEvent = held[i]
+			r.LastEventID = held[i]
 			back[i] = w.stream((i+1)%fronts, r)
 		}
 		assert.Equal(t, time.Since(began), time.Duration(0), "they come at once")
@@ -56,7 +56,7 @@
 		assert.Equal(t, w.read(), streams*promptSize)
 		questions := 0
 		for _, e := range w.engines {
-			questions += e.Listed()
+			questions += e.PromptListings()
 		}
 		assert.Assert(t, questions <= asked*streams, "%d", questions)
 	})
@@ -110,7 +110,7 @@
 func TestLargeFleetReturns(t *testing.T) {
 	const fronts = 150
 	run(t, fronts, 6, 2, func(w *world) {
-		w.store.SetRates(standin.Rates{Reads: 350, Writes: 75})
+		w.store.SetRateLimits(standin.RateLimits{Reads: 350, Writes: 75})
 		time.Sleep(2 * time.Second)
 		before := w.store.Counts()
 		w.restartAll(500 * time.Millisecond)
--- a/gateway/front/rollout_test.go
+++ b/gateway/front/rollout_test.go
@@ -53,14 +53,14 @@
 		load    int
 		next    func(int) standin.Request
 	}{
-		"plain, half fails":            {"plain", standin.WorkerFault{Part: 0.5, FailPart: true}, 100, logs},
-		"plain, a fifth fails":         {"plain", standin.WorkerFault{Part: 0.2, FailPart: true}, 100, logs},
-		"plain, one route":             {"plain", standin.WorkerFault{Part: 0.5, FailPart: true, Route: "/log/"}, 100, logs},
-		"plain, four times slower":     {"plain", standin.WorkerFault{Part: 1, SlowTimes: 4}, 100, logs},
-		"plain, a third much slower":   {"plain", standin.WorkerFault{Part: 0.3, SlowTimes: 8}, 100, logs},
-		"engines, half fails":          {"engines", standin.WorkerFault{Part: 0.5, FailPart: true}, 15, briefs},
-		"engines, four times slower":   {"engines", standin.WorkerFault{Part: 1, SlowTimes: 4}, 15, briefs},
-		"plain, all answers break off": {"plain", standin.WorkerFault{Part: 1, Truncate: true}, 100, pings},
+		"plain, half fails":            {"plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true}, 100, logs},
+		"plain, a fifth fails":         {"plain", standin.WorkerFault{AffectedFraction: 0.2, FailAffected: true}, 100, logs},
+		"plain, one route":             {"plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true, PathPrefix: "/log/"}, 100, logs},
+		"plain, four times slower":     {"plain", standin.WorkerFault{AffectedFraction: 1, SlowFactor: 4}, 100, logs},
+		"plain, a third much slower":   {"plain", standin.WorkerFault{AffectedFraction: 0.3, SlowFactor: 8}, 100, logs},
+		"engines, half fails":          {"engines", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true}, 15, briefs},
+		"engines, four times slower":   {"engines", standin.WorkerFault{AffectedFraction: 1, SlowFactor: 4}, 15, briefs},
+		"plain, all answers break off": {"plain", standin.WorkerFault{AffectedFraction: 1, Truncate: true}, 100, pings},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 6, 12, 3, func(w *world) {
@@ -82,7 +82,7 @@
 		m.order()
 		time.AfterFunc(rolloutWithin*4/10, func() {
 			for _, worker := range m.target {
-				worker.SetFault(standin.WorkerFault{Part: 0.5, FailPart: true})
+				worker.SetFault(standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 			}
 		})
 		m.loadUntilRolledBack(100, rolloutWithin+time.Second, logs)
@@ -92,7 +92,7 @@
 // TestRolloutWithStoreAway: while the store is away a bad build is left all the same, and the outcome is written when it is back.
 func TestRolloutWithStoreAway(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
-		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
+		m := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 		m.order()
 		time.Sleep(100 * time.Millisecond)
 		w.store.SetFault(standin.Fault{Outage: standin.Silent})
@@ -108,7 +108,7 @@
 		want  string
 	}{
 		"good": {standin.WorkerFault{}, "completed"},
-		"bad":  {standin.WorkerFault{Part: 0.5, FailPart: true, Load: 0}, "rolled_back"},
+		"bad":  {standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true, MinRunning: 0}, "rolled_back"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 6, 1, 3, func(w *world) {
@@ -138,13 +138,13 @@
 // same.
 func TestRolloutWhoseWriterDies(t *testing.T) {
 	for name, f := range map[string]standin.Fault{
-		"answer lost":          {LoseWrites: 1, Spare: platform.KindInstance},
-		"done two seconds on":  {LoseWrites: 1, LateMS: 2000, Spare: platform.KindInstance},
-		"several answers lost": {LoseWrites: 4, Spare: platform.KindInstance},
+		"answer lost":          {LoseWrites: 1, SpareKind: platform.KindInstance},
+		"done two seconds on":  {LoseWrites: 1, LostWriteDelayMS: 2000, SpareKind: platform.KindInstance},
+		"several answers lost": {LoseWrites: 4, SpareKind: platform.KindInstance},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 6, 1, 3, func(w *world) {
-				m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
+				m := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 				m.order()
 				time.Sleep(500 * time.Millisecond) // the state running is written
 				w.store.SetFault(f)
@@ -157,7 +157,7 @@
 // TestRolloutWhoseDeciderIsKilled: the instance that decides is killed before it can write.
 func TestRolloutWhoseDeciderIsKilled(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
-		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
+		m := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 		m.order()
 		time.Sleep(500 * time.Millisecond)
 		w.store.SetFault(standin.Fault{Outage: standin.Reset})
@@ -190,7 +190,7 @@
 // TestRolloutInALargeFleet: where not all tell all, the sums of the data centres are known soon enough.
 func TestRolloutInALargeFleet(t *testing.T) {
 	run(t, 70, 1, 3, func(w *world) {
-		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
+		m := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 		m.order()
 		m.loadUntilRolledBack(200, rolloutWithin+time.Second, pings)
 	})
@@ -207,7 +207,7 @@
 func TestRolloutsOfTwoServices(t *testing.T) {
 	run(t, 6, 12, 3, func(w *world) {
 		good := w.newBuild("engines", standin.WorkerFault{})
-		bad := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
+		bad := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 		good.order()
 		bad.order()
 		var wg sync.WaitGroup
@@ -233,7 +233,7 @@
 		assert.Check(t, target > 100, "%d", target)
 	})
 	run(t, 3, 1, 3, func(w *world) {
-		m := w.newBuild("plain", standin.WorkerFault{Part: 1, FailPart: true})
+		m := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 1, FailAffected: true})
 		m.list()
 		time.AfterFunc(time.Second, m.order)
 		m.load(100, 900*time.Millisecond, pings)
@@ -262,7 +262,7 @@
 // TestSecondOrder: after a roll-back the same service can be moved to another build.
 func TestSecondOrder(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
-		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
+		m := w.newBuild("plain", standin.WorkerFault{AffectedFraction: 0.5, FailAffected: true})
 		m.order()
 		m.load(100, 5*time.Second, pings)
 		assert.Equal(t, w.store.RolloutState("plain"), "rolled_back")
@@ -293,7 +293,7 @@
 		time.Sleep(rollBackWithin/2 + 100*time.Millisecond)
 		before := len(m.target[0].Runs()) + len(m.target[1].Runs()) + len(m.target[2].Runs())
 		for range 200 {
-			a, err := w.do(0, standin.Request{Method: http.MethodGet, Path: "/open/1", Wait: time.Second})
+			a, err := w.do(0, standin.Request{Method: http.MethodGet, Path: "/open/1", Timeout: time.Second})
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, http.StatusOK)
 		}
--- a/gateway/front/rollout_world_test.go
+++ b/gateway/front/rollout_world_test.go
@@ -47,7 +47,7 @@
 	}
 	for i, o := range m.old {
 		cfg := o.Config()
-		cfg.ID, cfg.Version = "v2-"+cfg.ID, "v2"
+		cfg.ID, cfg.Build = "v2-"+cfg.ID, "v2"
 		cfg.Address = fmt.Sprintf("10.3.%d.%d:80", len(service), i+1)
 		worker := w.fleet.NewWorker(cfg)
 		l, err := w.net.Node("v2-" + service + fmt.Sprint(i)).Listen(cfg.Address)
@@ -69,7 +69,7 @@
 
 func (m *moving) list() {
 	for _, t := range m.target {
-		m.store.Put(platform.KindEndpoint, t.Config().ID, t.Entry("ready"))
+		m.store.Put(platform.KindEndpoint, t.Config().ID, t.Registration("ready"))
 	}
 }
 
@@ -137,9 +137,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case err != nil || a.Status == http.StatusOK && !a.Whole:
+	case err != nil || a.Status == http.StatusOK && !a.Complete:
 		m.broken++
-	case r.Prompt != "" && a.Longest() > 700*time.Millisecond:
+	case r.PromptID != "" && a.LongestGap() > 700*time.Millisecond:
 		m.late++
 	}
 	m.answers[a.Status]++
--- a/gateway/front/stopping_test.go
+++ b/gateway/front/stopping_test.go
@@ -30,7 +30,7 @@
 		a, err := w.do(0, ping())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
-		assert.Assert(t, a.Closes)
+		assert.Assert(t, a.CloseConnection)
 		time.Sleep(1500 * time.Millisecond)
 		a, err = w.do(0, brief("b2"))
 		assert.NilError(t, err)
@@ -77,7 +77,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case err == nil && a.Status == http.StatusOK && a.Whole:
+	case err == nil && a.Status == http.StatusOK && a.Complete:
 		*served++
 	case err == nil && a.Status == http.StatusServiceUnavailable:
 		*refused++
@@ -122,15 +122,15 @@
 		streaming := w.stream(0, brief("b1"))
 		time.Sleep(1500 * time.Millisecond)
 		part := logLift()
-		part.Method, part.Host, part.ID, part.Wait = http.MethodPost, host, "51", 0
-		text := part.Text()
+		part.Method, part.Host, part.ID, part.Timeout = http.MethodPost, host, "51", 0
+		text := part.Encode()
 		slow := w.sendPart(0, text[:len(text)-1])
 		head := w.sendPart(0, text[:10])
 		call := logLift()
-		call.Wait = 0
+		call.Timeout = 0
 		calling := w.stream(0, call)
 		unread := brief("b2")
-		unread.Tokens = 3 * promptSize
+		unread.PromptTokens = 3 * promptSize
 		reading := w.stream(0, unread)
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
@@ -139,18 +139,18 @@
 		w.fronts[0] = nil
 		for name, got := range map[string]chan standin.Answer{"call": calling, "unread prompt": reading} {
 			a := <-got
-			assert.Check(t, a.Status == http.StatusBadGateway && a.Whole, "%s: %d %s", name, a.Status, a.Body)
+			assert.Check(t, a.Status == http.StatusBadGateway && a.Complete, "%s: %d %s", name, a.Status, a.Body)
 		}
 		assert.Check(t, is.Equal(<-slow, http.StatusRequestTimeout))
 		assert.Check(t, is.Equal(<-head, 0))
 		assert.Equal(t, w.plainRuns("51"), 0)
 		a := <-streaming
-		assert.Assert(t, !a.Whole && len(a.Events) > 0, "%+v", a)
+		assert.Assert(t, !a.Complete && len(a.Events) > 0, "%+v", a)
 		rest := brief("b1")
-		rest.LastEvent = len(a.Events)
+		rest.LastEventID = len(a.Events)
 		b, err := w.do(1, rest)
 		assert.NilError(t, err)
-		whole(t, b, "b1", rest.LastEvent)
+		whole(t, b, "b1", rest.LastEventID)
 	})
 }
 
--- a/gateway/front/streams_test.go
+++ b/gateway/front/streams_test.go
@@ -37,7 +37,7 @@
 				lose(w, engine)
 				a := <-got
 				whole(t, a, "b1", 0)
-				assert.Assert(t, a.Longest() <= pauseAim, "%v", a.Longest())
+				assert.Assert(t, a.LongestGap() <= pauseAim, "%v", a.LongestGap())
 				assert.Equal(t, w.read(), promptSize)
 			})
 		})
@@ -59,7 +59,7 @@
 		w.crashEngine(engine)
 		a := <-got
 		whole(t, a, "b1", 0)
-		assert.Assert(t, a.Longest() <= pauseAim, "%v", a.Longest())
+		assert.Assert(t, a.LongestGap() <= pauseAim, "%v", a.LongestGap())
 		<-other
 		for _, e := range w.engines {
 			for _, r := range e.Runs() {
@@ -97,11 +97,11 @@
 func TestSlowPromptIsNotGivenUp(t *testing.T) {
 	run(t, 1, 3, 1, func(w *world) {
 		r := brief("b1")
-		r.Tokens = 20000
+		r.PromptTokens = 20000
 		a, err := w.do(0, r)
 		assert.NilError(t, err)
 		whole(t, a, "b1", 0)
-		assert.Equal(t, w.read(), r.Tokens)
+		assert.Equal(t, w.read(), r.PromptTokens)
 	})
 }
 
@@ -121,7 +121,7 @@
 		held := len((<-got).Events)
 		assert.Assert(t, held > 0)
 		r := brief("b1")
-		r.LastEvent = held
+		r.LastEventID = held
 		a, err := w.do(1, r)
 		assert.NilError(t, err)
 		whole(t, a, "b1", held)
@@ -142,7 +142,7 @@
 		w.fronts[0], w.fronts[1] = w.front(0), w.front(1)
 		time.Sleep(time.Second)
 		r := brief("b1")
-		r.LastEvent = held
+		r.LastEventID = held
 		a, err := w.do(1, r)
 		assert.NilError(t, err)
 		whole(t, a, "b1", held)
@@ -201,7 +201,7 @@
 func TestAllEnginesRefuse(t *testing.T) {
 	run(t, 1, 6, 1, func(w *world) {
 		for _, e := range w.engines {
-			e.SetFault(standin.WorkerFault{Shed: true})
+			e.SetFault(standin.WorkerFault{RefuseAll: true})
 		}
 		began := time.Now()
 		a, err := w.do(0, brief("b1"))
@@ -232,7 +232,7 @@
 		engine, _ := w.serving()
 		w.crashEngine(engine)
 		a = <-got
-		assert.Assert(t, !a.Whole)
+		assert.Assert(t, !a.Complete)
 		assert.Assert(t, len(a.Events) > 0 && len(a.Events) < events)
 		total := 0
 		for _, e := range w.engines {
--- a/gateway/front/world_test.go
+++ b/gateway/front/world_test.go
@@ -155,12 +155,12 @@
 // engine starts a model worker; suffix tells a new incarnation at the same address.
 func (w *world) engine(i int, suffix string) *standin.Worker {
 	return w.worker(fmt.Sprint("e", i), suffix, standin.WorkerConfig{
-		Service: "engines", Address: fmt.Sprintf("10.1.0.%d:80", i+1), Zone: dc(i), Slots: slots, Prefill: 8, Step: step, Events: events,
+		Service: "engines", Address: fmt.Sprintf("10.1.0.%d:80", i+1), DataCentre: dc(i), Slots: slots, PrefillTokensPerMS: 8, EventInterval: step, Events: events,
 	})
 }
 
 func (w *world) plain(i int) *standin.Worker {
-	return w.worker(fmt.Sprint("p", i), "", standin.WorkerConfig{Service: "plain", Address: fmt.Sprintf("10.2.0.%d:80", i+1), Zone: dc(i), Slots: slots, Work: w.plainWork})
+	return w.worker(fmt.Sprint("p", i), "", standin.WorkerConfig{Service: "plain", Address: fmt.Sprintf("10.2.0.%d:80", i+1), DataCentre: dc(i), Slots: slots, WorkTime: w.plainWork})
 }
 
 func (w *world) worker(node, suffix string, cfg standin.WorkerConfig) *standin.Worker {
@@ -170,7 +170,7 @@
 	l, err := w.net.Node(node).Listen(cfg.Address)
 	assert.NilError(w.t, err)
 	w.stops = append(w.stops, standin.Serve(l, worker))
-	w.store.Put(platform.KindEndpoint, cfg.ID, worker.Entry("ready"))
+	w.store.Put(platform.KindEndpoint, cfg.ID, worker.Registration("ready"))
 	return worker
 }
 
@@ -297,15 +297,15 @@
 }
 
 func brief(prompt string) standin.Request {
-	return standin.Request{Path: "/brief/1", Key: key, Body: "the case", Wait: 25 * time.Second, Prompt: prompt, Tokens: promptSize}
+	return standin.Request{Path: "/brief/1", Key: key, Body: "the case", Timeout: 25 * time.Second, PromptID: prompt, PromptTokens: promptSize}
 }
 
 func logLift() standin.Request {
-	return standin.Request{Path: "/log/1?x=%2F", Key: key, Body: "lift", Wait: 3 * time.Second}
+	return standin.Request{Path: "/log/1?x=%2F", Key: key, Body: "lift", Timeout: 3 * time.Second}
 }
 
 func ping() standin.Request {
-	return standin.Request{Method: http.MethodGet, Path: "/ping/1", Key: key, Wait: 3 * time.Second}
+	return standin.Request{Method: http.MethodGet, Path: "/ping/1", Key: key, Timeout: 3 * time.Second}
 }
 
 // stream asks for a brief in the background.
@@ -364,7 +364,7 @@
 func (w *world) moved() int {
 	n := 0
 	for _, e := range w.engines {
-		n += e.Moved()
+		n += e.CopyRequests()
 	}
 	return n
 }
@@ -373,8 +373,8 @@
 func whole(t *testing.T, a standin.Answer, prompt string, after int) {
 	t.Helper()
 	assert.Equal(t, a.Status, http.StatusOK, a.Body)
-	assert.Assert(t, a.Whole)
-	assert.Assert(t, strings.HasPrefix(a.Signed, "signed-by-"))
+	assert.Assert(t, a.Complete)
+	assert.Assert(t, strings.HasPrefix(a.Signature, "signed-by-"))
 	assert.Equal(t, len(a.Events), events-after)
 	for i, e := range a.Events {
 		assert.Equal(t, e.ID, after+i+1)
