--- a/gateway/crashes/store.go
+++ b/gateway/crashes/store.go
@@ -75,7 +75,7 @@
 // reads them after wait. It retries until the store answers or ctx ends.
 func (r *Registry) loadStops(ctx context.Context, wait time.Duration) {
 	for ; !r.isComplete() && pause.For(ctx, wait) && !r.isComplete(); wait = retryDelay/2 + rand.N(3*retryDelay) {
-		page, err := r.Store.List(ctx, platform.KindStopped)
+		page, err := r.Store.List(ctx, platform.KindStoppedRequest)
 		if err != nil {
 			r.Log.WithError(err).Warn("stopped requests can't be read from the store, retrying")
 			continue
@@ -183,10 +183,10 @@
 	name := hex.EncodeToString(req.Content[:])
 	spec, err := json.Marshal(stopEntry{Team: req.Team, Service: f.Service, Times: s.Count, At: s.At.UTC(), Until: s.Until.UTC()})
 	if err == nil && s.Count > 0 {
-		_, err = r.Store.Create(ctx, platform.KindStopped, name, spec)
+		_, err = r.Store.Create(ctx, platform.KindStoppedRequest, name, spec)
 		switch {
 		case platform.IsConflict(err) && s.Count > 1:
-			_, err = r.Store.Replace(ctx, platform.KindStopped, name, spec, 0)
+			_, err = r.Store.Replace(ctx, platform.KindStoppedRequest, name, spec, 0)
 		case platform.IsConflict(err): // another instance has written it
 			err = nil
 		}
@@ -207,7 +207,7 @@
 func (r *Registry) deleteStop(req crashers.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), backupWriteDelay)
 	defer cancel()
-	if err := r.Store.Delete(ctx, platform.KindStopped, hex.EncodeToString(req.Content[:]), 0); err != nil {
+	if err := r.Store.Delete(ctx, platform.KindStoppedRequest, hex.EncodeToString(req.Content[:]), 0); err != nil {
 		r.log(req, nil).WithError(err).Warn("stop can't be deleted from the store")
 	}
 }
