--- a/gateway/follow/configuration.go
+++ b/gateway/follow/configuration.go
@@ -12,59 +12,61 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Configuration is the newest configuration known, with the proof that it still is the newest. It is
-// safe for concurrent use.
+// Configuration holds the newest configuration known, and when it was last known to be the newest.
+// It is safe for concurrent use.
 type Configuration struct {
-	loop    loop
-	changes func(*route.Table)
+	loop     loop
+	onChange func(*route.Table)
 
-	mu    sync.Mutex
-	table *route.Table
-	proof revision.Freshness
+	mu        sync.Mutex
+	table     *route.Table
+	freshness revision.Freshness
 }
 
-// NewConfiguration returns a follower that knows nothing yet. The proof grows as old as a watch waits in
-// calm times; changes is called with each new table.
-func NewConfiguration(o Options, changes func(*route.Table)) *Configuration {
-	return &Configuration{loop: loop{Options: o, kind: platform.KindConfiguration}, changes: changes}
+// NewConfiguration returns a Configuration that holds none yet. While the store answers and nothing
+// changes, the age of the configuration grows up to the time that a watch waits. onChange is called
+// with each new table.
+func NewConfiguration(o Options, onChange func(*route.Table)) *Configuration {
+	return &Configuration{loop: loop{Options: o, kind: platform.KindConfiguration}, onChange: onChange}
 }
 
-// Run follows the store until ctx ends.
+// Run keeps the configuration up to date until ctx ends.
 func (c *Configuration) Run(ctx context.Context) { c.loop.run(ctx, c) }
 
-// Table returns the newest table, nil when none is known, and the age of the proof.
+// Table returns the newest table, and the time since it was last known to be the newest. The table
+// is nil if no configuration is known.
 func (c *Configuration) Table() (*route.Table, time.Duration) {
 	now := c.loop.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	age, _ := c.proof.Age(now)
+	age, _ := c.freshness.Age(now)
 	return c.table, age
 }
 
-func (c *Configuration) replace(proved time.Duration, objects []platform.Object) {
-	c.changed(proved, objects)
+func (c *Configuration) replace(currentAt time.Duration, objects []platform.Object) {
+	c.update(currentAt, objects)
 }
 
-func (c *Configuration) changed(proved time.Duration, objects []platform.Object) {
+func (c *Configuration) update(currentAt time.Duration, objects []platform.Object) {
 	for i := range objects {
 		if objects[i].Name == platform.ConfigurationName && !objects[i].Deleted {
-			c.take(&objects[i])
+			c.apply(&objects[i])
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table != nil {
-		c.proof.Confirm(proved)
+		c.freshness.Confirm(currentAt)
 	}
 }
 
-func (c *Configuration) unreachable(time.Duration) {}
+func (c *Configuration) readFailed(time.Duration) {}
 
-// take puts a configuration in force unless a higher version already is.
-func (c *Configuration) take(o *platform.Object) {
+// apply puts a configuration in force unless the one in force has the same version or a higher one.
+func (c *Configuration) apply(o *platform.Object) {
 	decoded, err := platform.DecodeConfiguration(o.Spec)
 	if err != nil {
-		c.loop.Log.WithError(err).WithField("revision", o.Revision).Error("configuration can't be read; the one before stays")
+		c.loop.Log.WithError(err).WithField("revision", o.Revision).Error("can't decode the configuration; keeping the previous one")
 		return
 	}
 	c.mu.Lock()
@@ -78,5 +80,5 @@
 	c.loop.Log.WithFields(logrus.Fields{
 		"version": decoded.Version, "routes": len(decoded.Routes), "teams": len(decoded.Teams), "revision": o.Revision,
 	}).Info("configuration in force")
-	c.changes(table)
+	c.onChange(table)
 }
--- a/gateway/follow/endpoints.go
+++ b/gateway/follow/endpoints.go
@@ -11,39 +11,40 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Endpoints is the platform's list of endpoints. It is safe for concurrent use.
+// Endpoints holds the platform's list of endpoints. It is safe for concurrent use.
 type Endpoints struct {
-	loop    loop
-	known   func(service string) bool
-	inUse   func(id string) bool
-	changes func([]routing.Endpoint)
+	loop         loop
+	knownService func(service string) bool
+	inUse        func(id string) bool
+	onChange     func([]routing.Endpoint)
 
-	mu   sync.Mutex
-	list *listing.List
-	due  *time.Timer // of what is missing since an outage
-	seen map[string]routing.State
+	mu         sync.Mutex
+	list       *listing.List
+	expiry     *time.Timer // calls publish when missing entries expire; nil if not set
+	lastStates map[string]routing.State
 }
 
-// endpointsGap bounds the calls that a run of changes costs, to five a second of each instance that asks
-// the store. A change is in force that much later at the most, a tenth of the time that a leaving endpoint may
-// still be used.
-const endpointsGap = 200 * time.Millisecond
+// endpointsPauseAfterChange bounds the calls to the store during a run of changes to five a second
+// for each instance that asks the store. It delays a change by at most a tenth of the time for
+// which an endpoint that is leaving may still be used.
+const endpointsPauseAfterChange = 200 * time.Millisecond
 
-// NewEndpoints returns a follower that knows nothing yet. known tells whether the configuration names a service, inUse
-// whether requests of this instance are at an endpoint; changes is called with the whole list when it changed.
-func NewEndpoints(o Options, known func(service string) bool, inUse func(id string) bool, changes func([]routing.Endpoint)) *Endpoints {
+// NewEndpoints returns an empty list. knownService reports whether the configuration names a
+// service. inUse reports whether requests of this instance are at the endpoint with an ID. onChange
+// is called with the whole list when it has changed.
+func NewEndpoints(o Options, knownService func(service string) bool, inUse func(id string) bool, onChange func([]routing.Endpoint)) *Endpoints {
 	return &Endpoints{
-		loop:  loop{Options: o, kind: platform.KindEndpoint, gap: endpointsGap},
-		known: known, inUse: inUse, changes: changes, list: listing.New(listing.DefaultSettings()), seen: map[string]routing.State{},
+		loop:         loop{Options: o, kind: platform.KindEndpoint, pauseAfterChange: endpointsPauseAfterChange},
+		knownService: knownService, inUse: inUse, onChange: onChange, list: listing.New(listing.DefaultSettings()), lastStates: map[string]routing.State{},
 	}
 }
 
-// Run follows the store until ctx ends.
+// Run keeps the list up to date until ctx ends.
 func (e *Endpoints) Run(ctx context.Context) { e.loop.run(ctx, e) }
 
 func (e *Endpoints) replace(_ time.Duration, objects []platform.Object) {
 	now := e.loop.Now()
-	// Of two entries with one address, the one that was written last is put last, and so counts.
+	// If two entries have the same address, the one that was written last is put last and is used.
 	sort.Slice(objects, func(i, j int) bool { return objects[i].Revision < objects[j].Revision })
 	e.mu.Lock()
 	e.list.ReadSucceeded(now)
@@ -60,19 +61,19 @@
 	e.publish(true)
 }
 
-func (e *Endpoints) changed(_ time.Duration, objects []platform.Object) {
+func (e *Endpoints) update(_ time.Duration, objects []platform.Object) {
 	now := e.loop.Now()
 	e.mu.Lock()
 	e.list.ReadSucceeded(now)
 	for i := range objects {
-		e.take(now, &objects[i])
+		e.apply(now, &objects[i])
 	}
 	e.mu.Unlock()
 	e.publish(len(objects) > 0)
 }
 
-// take takes what a watch told of one entry.
-func (e *Endpoints) take(now time.Duration, o *platform.Object) {
+// apply updates one entry with an object that a watch returned. The caller holds mu.
+func (e *Endpoints) apply(now time.Duration, o *platform.Object) {
 	if o.Deleted {
 		e.list.Remove(now, o.Name)
 		return
@@ -87,50 +88,52 @@
 func (e *Endpoints) decode(o *platform.Object) (routing.Endpoint, bool) {
 	d, err := platform.DecodeEndpoint(*o)
 	if err != nil {
-		e.loop.Log.WithError(err).WithField("endpoint", o.Name).Warn("entry of the list names no endpoint to use")
+		e.loop.Log.WithError(err).WithField("endpoint", o.Name).Warn("ignoring an unusable entry of the endpoint list")
 		return d, false
 	}
 	return d, true
 }
 
-func (e *Endpoints) unreachable(began time.Duration) {
+func (e *Endpoints) readFailed(began time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.list.ReadFailed(began)
 }
 
-// Ended takes endpoints, by id, whose addresses answered for others.
-func (e *Endpoints) Ended(ids ...string) {
+// MarkEnded records that the addresses of the endpoints with these IDs answered for other
+// endpoints, so that the former have ended.
+func (e *Endpoints) MarkEnded(ids ...string) {
 	e.mu.Lock()
-	news := e.list.MarkEnded(ids...)
+	changed := e.list.MarkEnded(ids...)
 	e.mu.Unlock()
-	if news {
+	if changed {
 		e.publish(true)
 	}
 }
 
-// Publish tells the list again.
+// Publish calls onChange with the list even if it has not changed.
 func (e *Endpoints) Publish() { e.publish(true) }
 
-// publish tells the list where it changed, and sees to what is still missing.
+// publish drops the missing entries that have expired, and sets a timer for those that are left. It
+// calls onChange if changed is set or an entry was dropped.
 func (e *Endpoints) publish(changed bool) {
 	now := e.loop.Now()
 	e.mu.Lock()
 	changed = e.list.Tick(now) || changed
-	if at, missing := e.list.Deadline(); missing && e.due == nil {
-		e.due = time.AfterFunc(at-now, func() {
+	if at, missing := e.list.Deadline(); missing && e.expiry == nil {
+		e.expiry = time.AfterFunc(at-now, func() {
 			e.mu.Lock()
-			e.due = nil
+			e.expiry = nil
 			e.mu.Unlock()
 			e.publish(false)
 		})
 	}
-	all := e.list.Endpoints(e.known)
+	all := e.list.Endpoints(e.knownService)
 	e.mu.Unlock()
 	if !changed {
 		return
 	}
-	moved := e.compare(all)
-	e.changes(all)
-	moved.log(e.loop.Log)
+	diff := e.diffFromLast(all)
+	e.onChange(all)
+	diff.log(e.loop.Log)
 }
--- a/gateway/follow/loop.go
+++ b/gateway/follow/loop.go
@@ -13,38 +13,40 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Store is what is read of the platform's store.
+// Store reads objects of the platform's store.
 type Store interface {
 	// List returns all objects of a kind, and the revision to watch from.
 	List(ctx context.Context, kind string) (platform.Page, error)
-	// Watch returns the objects that changed after a revision, waiting for a change as long as wait.
+	// Watch returns the objects that changed after a revision. If there are none it waits for a
+	// change, for wait at the longest.
 	Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platform.Page, error)
 }
 
-// Source is whom to ask.
+// Source is where objects are read from.
 type Source struct {
 	Store
-	// Direct tells that it is the store itself, whose calls are counted, and not another instance.
+	// Direct is set if Store is the platform's store itself, whose calls are counted and charged,
+	// and not another instance.
 	Direct bool
 }
 
-// follower is what a loop keeps in step.
+// follower holds the objects of one kind that a loop reads.
 type follower interface {
-	// replace takes a list, changed what a watch returned. proved is a time at which there certainly
-	// was nothing newer.
-	replace(proved time.Duration, objects []platform.Object)
-	changed(proved time.Duration, objects []platform.Object)
-	// unreachable takes a failed read.
-	unreachable(began time.Duration)
+	// replace sets all objects to those of a list, and update changes those that a watch returned.
+	// currentAt is the latest time at which it is certain that there was nothing newer.
+	replace(currentAt time.Duration, objects []platform.Object)
+	update(currentAt time.Duration, objects []platform.Object)
+	// readFailed records a failed read that began at a time.
+	readFailed(began time.Duration)
 }
 
-// Options of a follower.
+// Options configure [Configuration], [Endpoints] and [Rollouts].
 type Options struct {
-	// Source returns whom to ask next: the store, or another instance that follows it.
+	// Source returns where to read next: from the store, or from another instance that follows it.
 	Source func() Source
-	// Mirror takes what is known, for instances that follow this one.
+	// Mirror gets all that is read, for instances that follow this one.
 	Mirror *Mirror
-	// Wait is how long a watch waits.
+	// Wait is how long a watch waits for a change.
 	Wait time.Duration
 	Now  clock.Now
 	Log  *logrus.Entry
@@ -54,33 +56,38 @@
 type loop struct {
 	Options
 	kind string
-	// gap is the least time between two watches of the store, so that a run of changes costs one call.
-	gap             time.Duration
-	broken, hurried bool
+	// pauseAfterChange is the pause after a call to the store that returned objects. It lets one
+	// call return all changes of that time.
+	pauseAfterChange time.Duration
+	// failing is set while calls fail, and changedLast if the last call was a watch of the store
+	// that returned a change.
+	failing, changedLast bool
 }
 
-// Pauses after a failed call: they double up to pauseMost, which is short against the time that
-// entries take to come back after an outage.
 const (
-	pauseLeast = 50 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
-	// brokenWait is how long a watch waits while the store does not answer.
-	brokenWait = 10 * time.Millisecond
-	// hurriedWait is how long the watch after a change waits.
-	hurriedWait = 250 * time.Millisecond
+	// minBackoff and maxBackoff bound the mean pause after a failed call, which doubles with each
+	// failure. maxBackoff is short compared with the time that entries take to come back after an
+	// outage.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+	// waitWhileFailing is how long a watch waits after a failed call.
+	waitWhileFailing = 10 * time.Millisecond
+	// waitAfterChange bounds the wait of a watch that comes after one of the store that returned a
+	// change.
+	waitAfterChange = 250 * time.Millisecond
 )
 
 func (l *loop) run(ctx context.Context, f follower) {
 	var since uint64
 	listed := false
-	backoff := pauseLeast
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		began := l.Now()
 		source := l.Source()
 		var page platform.Page
 		var err error
 		if listed {
-			page, err = source.Watch(ctx, l.kind, since, l.patience())
+			page, err = source.Watch(ctx, l.kind, since, l.watchWait())
 		} else {
 			page, err = source.List(ctx, l.kind)
 		}
@@ -88,59 +95,62 @@
 			listed = listed && !errorx.IsOfType(err, platform.ErrHistoryGone)
 			if l.failed(ctx, f, began, err) {
 				pause.For(ctx, backoff/2+rand.N(backoff))
-				backoff = min(2*backoff, pauseMost)
+				backoff = min(2*backoff, maxBackoff)
 			}
 			continue
 		}
-		backoff = pauseLeast
-		l.take(f, listed, began, &page)
-		l.worked()
-		changedNow := source.Direct && len(page.Objects) > 0
-		l.hurried = listed && changedNow
+		backoff = minBackoff
+		l.deliver(f, listed, began, &page)
+		l.succeeded()
+		storeChanged := source.Direct && len(page.Objects) > 0
+		l.changedLast = listed && storeChanged
 		since, listed = page.Revision, true
-		if changedNow {
-			pause.For(ctx, l.gap)
+		if storeChanged {
+			pause.For(ctx, l.pauseAfterChange)
 		}
 	}
 }
 
-// take hands on what a call returned.
-func (l *loop) take(f follower, watched bool, began time.Duration, page *platform.Page) {
+// deliver passes the result of a call to the follower and to the mirror. watched is set for a
+// watch.
+func (l *loop) deliver(f follower, watched bool, began time.Duration, page *platform.Page) {
 	if page.Unreadable > 0 {
-		l.Log.WithFields(logrus.Fields{"kind": l.kind, "objects": page.Unreadable, "revision": page.Revision}).Warn("objects can't be read; left out")
+		l.Log.WithFields(logrus.Fields{"kind": l.kind, "objects": page.Unreadable, "revision": page.Revision}).Warn("ignoring unreadable objects")
 	}
-	proved := l.proved(began, page)
+	currentAt := l.currentAt(began, page)
 	if watched {
-		f.changed(proved, page.Objects)
-		l.Mirror.update(l.kind, proved, page)
+		f.update(currentAt, page.Objects)
+		l.Mirror.update(l.kind, currentAt, page)
 		return
 	}
-	f.replace(proved, page.Objects)
-	l.Mirror.replace(l.kind, proved, page)
+	f.replace(currentAt, page.Objects)
+	l.Mirror.replace(l.kind, currentAt, page)
 }
 
-// proved returns a time at which there certainly was nothing newer than the answer to a watch. The answer was made
-// no sooner than it was held back after the watch began.
-func (l *loop) proved(began time.Duration, page *platform.Page) time.Duration {
+// currentAt returns the latest time at which it is certain that nothing was newer than the answer
+// to a call. The answer was held back for page.Held after the call began, and its data was page.Age
+// old then.
+func (l *loop) currentAt(began time.Duration, page *platform.Page) time.Duration {
 	return began + page.Held - page.Age
 }
 
-// patience returns how long the next watch waits: hardly at all while the store does not answer, so that
-// its return is noticed soon.
+// watchWait returns how long the next watch waits. After a failed call the wait is very short, so
+// that the end of an outage is noticed soon.
 //
-// After a change a watch of the store waits less: one that returned a change proves only what was known when it
-// began, and the next one has to prove more before that is too old for those who follow.
-func (l *loop) patience() time.Duration {
+// After a change a watch waits less too. A watch that returned a change only shows that the data
+// was the newest when the watch began. The next watch has to confirm it at a later time before the
+// data is too old for the instances that follow this one.
+func (l *loop) watchWait() time.Duration {
 	switch {
-	case l.broken:
-		return brokenWait
-	case l.hurried:
-		return min(hurriedWait, l.Wait)
+	case l.failing:
+		return waitWhileFailing
+	case l.changedLast:
+		return min(waitAfterChange, l.Wait)
 	}
 	return l.Wait
 }
 
-// failed takes a failed call, and tells whether to pause.
+// failed handles a failed call, and reports whether to pause before the next one.
 func (l *loop) failed(ctx context.Context, f follower, began time.Duration, err error) bool {
 	if ctx.Err() != nil {
 		return false
@@ -149,17 +159,17 @@
 		l.Log.WithField("kind", l.kind).Info("the store's history is gone; listing again")
 		return false
 	}
-	f.unreachable(began)
-	if !l.broken {
-		l.broken = true
+	f.readFailed(began)
+	if !l.failing {
+		l.failing = true
 		l.Log.WithError(err).WithField("kind", l.kind).Warn("source lost")
 	}
 	return true
 }
 
-func (l *loop) worked() {
-	if l.broken {
-		l.broken = false
+func (l *loop) succeeded() {
+	if l.failing {
+		l.failing = false
 		l.Log.WithField("kind", l.kind).Info("source regained")
 	}
 }
--- a/gateway/follow/mirror.go
+++ b/gateway/follow/mirror.go
@@ -11,81 +11,85 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Mirror keeps the objects of some kinds as this instance knows them, for other instances to follow in
-// place of the store: a call to the store is counted and priced, and with many instances most of what they
-// ask for is the same. Revisions are the store's own, so a follower can change from one source to another
-// at any time. It is safe for concurrent use.
+// Mirror keeps copies of the objects of some kinds, from which other instances read in place of the
+// store. Calls to the store are counted and charged, and all instances ask for nearly the same.
+// Revisions are those of the store, so a reader can switch from one source to another at any time.
+// A Mirror is safe for concurrent use.
 type Mirror struct {
 	now clock.Now
-	// stale returns the age from which what is known is not told any more.
-	stale func() time.Duration
-	mu    sync.Mutex
-	kinds map[string]*mirrored
-	// interrupts counts how often the watches that waited were ended.
+	// maxAge returns the age from which data is not served any more.
+	maxAge func() time.Duration
+	mu     sync.Mutex
+	kinds  map[string]*mirroredKind
+	// interrupts counts the calls of Interrupt.
 	interrupts int
 }
 
-// mirrored is one kind of objects.
-type mirrored struct {
-	objects  map[string]platform.Object // removed ones included, for a while
-	removed  []string                   // oldest first
-	revision uint64
-	oldest   uint64 // removals up to here are forgotten
-	proof    revision.Freshness
-	changed  chan struct{} // closed when there is anything new
+// mirroredKind holds the objects of one kind.
+type mirroredKind struct {
+	objects       map[string]platform.Object // includes the latest maxRemoved removed ones
+	removed       []string                   // names, oldest removal first
+	revision      uint64
+	forgottenUpTo uint64 // changes up to this revision can't be listed any more
+	freshness     revision.Freshness
+	changed       chan struct{} // closed and replaced at every update
 }
 
 const (
-	// staleStep is the least time between two looks of a waiting watch.
-	staleStep = time.Millisecond
-	// stalePatience is how long a watch that comes while the knowledge is too old waits for better: this instance
-	// may just have noticed that the one it follows is lost, and asks another one or the store, which takes 10 ms.
-	stalePatience = 150 * time.Millisecond
-	// freshStep is how much fresher the knowledge has to be than the caller's for a watch to end. It is less than
-	// the time between two proofs in calm times, 0.9 s, and more than after a change, 0.25 s.
-	freshStep = 400 * time.Millisecond
+	// minRecheck is the shortest time after which a waiting watch checks again.
+	minRecheck = time.Millisecond
+	// staleWait is how long a call that finds the data too old waits for newer data. This instance
+	// may just have lost the instance that it follows. It then reads from another one or from the
+	// store, which takes 10 ms.
+	staleWait = 150 * time.Millisecond
+	// minFreshnessGain is how much fresher than the caller's data the data has to be for a watch to
+	// end without a change. While nothing changes, the data is confirmed every 0.9 s, which is more
+	// than this. After a change it is confirmed after 0.25 s, which is less.
+	minFreshnessGain = 400 * time.Millisecond
 )
 
-// removedMost is how many removed objects are remembered. A follower that is behind more lists again.
-const removedMost = 500
+// maxRemoved is how many removed objects of a kind are kept. A reader that has missed more of them
+// has to list again.
+const maxRemoved = 500
 
-// NewMirror returns a mirror that knows nothing. It does not tell what it knows once that is older than
-// stale: those who follow have to learn within their own bounds that this instance is cut off.
-func NewMirror(now clock.Now, stale func() time.Duration) *Mirror {
-	return &Mirror{now: now, stale: stale, kinds: map[string]*mirrored{}}
+// NewMirror returns an empty mirror. It serves no data that is maxAge old or older: the instances
+// that follow this one have to learn that it gets no new data before their own data is too old.
+func NewMirror(now clock.Now, maxAge func() time.Duration) *Mirror {
+	return &Mirror{now: now, maxAge: maxAge, kinds: map[string]*mirroredKind{}}
 }
 
-func (m *Mirror) kind(kind string) *mirrored {
+func (m *Mirror) kind(kind string) *mirroredKind {
 	k := m.kinds[kind]
 	if k == nil {
-		k = &mirrored{objects: map[string]platform.Object{}, changed: make(chan struct{})}
+		k = &mirroredKind{objects: map[string]platform.Object{}, changed: make(chan struct{})}
 		m.kinds[kind] = k
 	}
 	return k
 }
 
-// replace takes a list.
-func (m *Mirror) replace(kind string, proved time.Duration, page *platform.Page) {
+// replace sets all objects of a kind to those of a list.
+func (m *Mirror) replace(kind string, currentAt time.Duration, page *platform.Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := m.kind(kind)
-	k.objects, k.removed, k.oldest = map[string]platform.Object{}, nil, page.Revision
+	k.objects, k.removed, k.forgottenUpTo = map[string]platform.Object{}, nil, page.Revision
 	k.put(page)
-	k.proof.Confirm(proved)
+	k.freshness.Confirm(currentAt)
 	k.wake()
 }
 
-// update takes what a watch returned.
-func (m *Mirror) update(kind string, proved time.Duration, page *platform.Page) {
+// update changes the objects of a kind that a watch returned.
+func (m *Mirror) update(kind string, currentAt time.Duration, page *platform.Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := m.kind(kind)
 	k.put(page)
-	k.proof.Confirm(proved)
+	k.freshness.Confirm(currentAt)
 	k.wake()
 }
 
-// Interrupt ends all watches that wait: this instance is cut off, and those who follow it should follow another.
+// Interrupt ends all watches that wait. It is called when the store stops answering this instance,
+// so that the instances that follow it learn of this and choose another source.
 func (m *Mirror) Interrupt() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,45 +99,47 @@
 	}
 }
 
-// Age returns how old the knowledge of a kind is; false when there is none.
+// Age returns the time since the objects of a kind were last known to be the newest. It returns
+// false if they never were.
 func (m *Mirror) Age(kind string) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.kind(kind).proof.Age(m.now())
+	return m.kind(kind).freshness.Age(m.now())
 }
 
-func (k *mirrored) put(page *platform.Page) {
+func (k *mirroredKind) put(page *platform.Page) {
 	for _, o := range page.Objects {
 		if o.Deleted {
-			o.Revision = page.Revision // it is not known more exactly; not earlier than the removal
+			o.Revision = page.Revision // the removal's own revision is not known, and is no higher
 			k.removed = append(k.removed, o.Name)
 		}
 		k.objects[o.Name] = o
 	}
 	k.revision = max(k.revision, page.Revision)
-	for len(k.removed) > removedMost {
+	for len(k.removed) > maxRemoved {
 		k.forget(k.removed[0])
 		k.removed = k.removed[1:]
 	}
 }
 
-func (k *mirrored) forget(name string) {
+func (k *mirroredKind) forget(name string) {
 	if o := k.objects[name]; o.Deleted {
-		k.oldest = max(k.oldest, o.Revision)
+		k.forgottenUpTo = max(k.forgottenUpTo, o.Revision)
 		delete(k.objects, name)
 	}
 }
 
-func (k *mirrored) wake() {
+func (k *mirroredKind) wake() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// List returns all objects of a kind. It waits for a moment where what is known is too old, or nothing is known yet: in a
-// fleet that starts, the one that asks the store and those that follow it have just begun.
+// List returns all objects of a kind. If there are none yet or they are too old, it waits up to
+// staleWait for new data: when a fleet starts, the instance that asks the store and those that
+// follow it start at the same time. After that it returns [platform.ErrUnavailable].
 func (m *Mirror) List(ctx context.Context, kind string) (platform.Page, error) {
-	patience := time.NewTimer(stalePatience)
-	defer patience.Stop()
+	timeout := time.NewTimer(staleWait)
+	defer timeout.Stop()
 	for {
 		page, changed, err := m.list(kind)
 		if err == nil {
@@ -141,7 +147,7 @@
 		}
 		select {
 		case <-changed:
-		case <-patience.C:
+		case <-timeout.C:
 			return platform.Page{}, err
 		case <-ctx.Done():
 			return platform.Page{}, err
@@ -149,32 +155,35 @@
 	}
 }
 
-// list returns all objects of a kind, or what to wait for.
+// list returns all objects of a kind. If it fails, it returns the channel that is closed at the
+// next update.
 func (m *Mirror) list(kind string) (platform.Page, chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := m.kind(kind)
-	age, err := m.toldAge(k, kind)
+	age, err := m.freshAge(k, kind)
 	if err != nil {
 		return platform.Page{}, k.changed, err
 	}
 	return platform.Page{Objects: k.since(0, false), Revision: k.revision, Age: age}, nil, nil
 }
 
-// toldAge returns how old the knowledge of a kind is, and fails when that is too old to be told.
-func (m *Mirror) toldAge(k *mirrored, kind string) (time.Duration, error) {
-	age, known := k.proof.Age(m.now())
-	if !known || age >= m.stale() {
-		return 0, platform.ErrUnavailable.New("what is known of %s is %v old", kind, age)
+// freshAge returns the age of the objects of a kind. It returns [platform.ErrUnavailable] if they
+// are too old to be served or were never read. The caller holds mu.
+func (m *Mirror) freshAge(k *mirroredKind, kind string) (time.Duration, error) {
+	age, known := k.freshness.Age(m.now())
+	if !known || age >= m.maxAge() {
+		return 0, platform.ErrUnavailable.New("no fresh objects of kind %s: the age is %v", kind, age)
 	}
 	return age, nil
 }
 
-// since returns the objects that changed after a revision, in the order of their changes.
-func (k *mirrored) since(revision uint64, removed bool) []platform.Object {
+// since returns the objects that changed after a revision, in the order of their changes. It leaves
+// out removed ones unless withRemoved is set.
+func (k *mirroredKind) since(revision uint64, withRemoved bool) []platform.Object {
 	var out []platform.Object
 	for _, o := range k.objects {
-		if o.Revision > revision && (removed || !o.Deleted) {
+		if o.Revision > revision && (withRemoved || !o.Deleted) {
 			out = append(out, o)
 		}
 	}
@@ -182,26 +191,30 @@
 	return out
 }
 
-// WatchRequest asks for what changed.
+// WatchRequest asks for the objects that changed.
 type WatchRequest struct {
-	// Kind of objects, and the revision after which they changed.
+	// Kind is the kind of the objects, and Since the revision after which they changed.
 	Kind  string
 	Since uint64
-	// Wait is how long to wait for a change.
+	// Wait is the longest time to wait for a change.
 	Wait time.Duration
-	// Known is how old the caller's own knowledge is. The watch also ends when this instance knows noticeably
-	// better, so that all who follow each other are about as fresh as the one that asks the store.
-	Known time.Duration
+	// KnownAge is the age of the caller's own data. The watch also ends once this instance has data
+	// that is fresher by minFreshnessGain. So all instances of a chain have data that is about as
+	// fresh as that of the one that asks the store.
+	KnownAge time.Duration
 }
 
-// Watch returns the objects that changed, waiting for a change. The answer is empty when there was none.
+// Watch returns the objects that changed, removed ones included, and waits for a change if there
+// are none. The page has no objects if nothing changed. Watch returns [platform.ErrHistoryGone] if
+// the changes since the revision are not kept any more, and [platform.ErrUnavailable] if the data
+// is too old or ctx ends.
 func (m *Mirror) Watch(ctx context.Context, r WatchRequest) (platform.Page, error) {
 	timeout := time.NewTimer(r.Wait)
 	defer timeout.Stop()
 	w := m.watch(&r)
 	for {
-		page, ended, next, err := m.look(&w)
-		if ended {
+		page, done, next, err := m.check(&w)
+		if done {
 			return page, err
 		}
 		stale := time.NewTimer(next.after)
@@ -211,7 +224,7 @@
 		case <-stale.C:
 		case <-timeout.C:
 			stale.Stop()
-			page, _, _, err = m.look(&w)
+			page, _, _, err = m.check(&w)
 			return page, err
 		case <-ctx.Done():
 			stale.Stop()
@@ -225,43 +238,44 @@
 	kind  string
 	since uint64
 	began time.Duration
-	// enough is the time of a proof that ends it.
-	enough     time.Duration
-	interrupts int
-	// fresh tells that the knowledge was fresh enough to be told at any time since it began.
-	fresh bool
+	// endCurrentAt ends the watch once the data is known to have been the newest at this time.
+	endCurrentAt time.Duration
+	interrupts   int
+	// wasFresh is set once the data was fresh enough to be served at a check. From then on the
+	// watch fails at once when the data gets too old.
+	wasFresh bool
 }
 
 func (m *Mirror) watch(r *WatchRequest) watch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	return watch{kind: r.Kind, since: r.Since, began: now, enough: now - r.Known + freshStep, interrupts: m.interrupts}
+	return watch{kind: r.Kind, since: r.Since, began: now, endCurrentAt: now - r.KnownAge + minFreshnessGain, interrupts: m.interrupts}
 }
 
-// next is when a watch looks again: when anything has changed, or after some time.
-type next struct {
+// recheck says when a waiting watch checks again: when changed is closed, or after a time.
+type recheck struct {
 	changed chan struct{}
 	after   time.Duration
 }
 
-// look returns what a watch would return now, whether it ends with that, and when to look again otherwise: when what is
-// known will have grown too old to be told. With a look each 50 ms instead, an instance with 16
-// followers woke up 640 times a second.
-func (m *Mirror) look(w *watch) (page platform.Page, ended bool, again next, err error) {
+// check returns what a watch would return now, whether it ends with that, and when to check again
+// if it does not: when the data changes or will be too old to be served. With a check every 50 ms
+// instead, an instance with 16 followers woke up 640 times a second.
+func (m *Mirror) check(w *watch) (page platform.Page, done bool, next recheck, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k, now := m.kind(w.kind), m.now()
-	age, err := m.toldAge(k, w.kind)
+	age, err := m.freshAge(k, w.kind)
 	if err != nil {
-		patience := w.began + stalePatience
-		return platform.Page{}, w.fresh || now >= patience, next{k.changed, max(patience-now, staleStep)}, err
+		deadline := w.began + staleWait
+		return platform.Page{}, w.wasFresh || now >= deadline, recheck{k.changed, max(deadline-now, minRecheck)}, err
 	}
-	w.fresh = true
-	if w.since < k.oldest {
-		return platform.Page{}, true, next{}, platform.ErrHistoryGone.New("changes up to %d are forgotten", k.oldest)
+	w.wasFresh = true
+	if w.since < k.forgottenUpTo {
+		return platform.Page{}, true, recheck{}, platform.ErrHistoryGone.New("changes up to revision %d are not kept any more", k.forgottenUpTo)
 	}
 	page = platform.Page{Objects: k.since(w.since, true), Revision: max(w.since, k.revision), Age: age}
-	ended = len(page.Objects) > 0 || now-age >= w.enough || m.interrupts != w.interrupts
-	return page, ended, next{k.changed, max(m.stale()-age, staleStep)}, nil
+	done = len(page.Objects) > 0 || now-age >= w.endCurrentAt || m.interrupts != w.interrupts
+	return page, done, recheck{k.changed, max(m.maxAge()-age, minRecheck)}, nil
 }
--- a/gateway/follow/mirror_test.go
+++ b/gateway/follow/mirror_test.go
@@ -29,8 +29,9 @@
 	return out
 }
 
-// mirrorWorld is a mirror of two objects, known to be the newest 100 ms ago.
-func mirrorWorld() (*Mirror, time.Time) {
+// newTestMirror returns a mirror of two objects that were last known to be the newest 100 ms ago,
+// and the time at which its clock was 0.
+func newTestMirror() (*Mirror, time.Time) {
 	began := time.Now()
 	m := NewMirror(func() time.Duration { return time.Since(began) }, func() time.Duration { return time.Minute })
 	m.replace("k", 0, &platform.Page{Objects: []platform.Object{object("a", 5), object("b", 7)}, Revision: 9})
@@ -40,7 +41,7 @@
 
 func TestMirrorListsAndWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, _ := mirrorWorld()
+		m, _ := newTestMirror()
 		ctx := context.Background()
 		page, err := m.List(ctx, "k")
 		assert.NilError(t, err)
@@ -52,7 +53,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(page.Objects), 0)
 		assert.Equal(t, time.Since(began), time.Second)
-		assert.Equal(t, page.Age, 1100*time.Millisecond, "its own knowledge grew old meanwhile")
+		assert.Equal(t, page.Age, 1100*time.Millisecond, "the age has to grow during the wait")
 		time.AfterFunc(50*time.Millisecond, func() {
 			gone := object("a", 5)
 			gone.Deleted = true
@@ -62,7 +63,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, names(page), []string{"c", "-a"})
 		assert.Equal(t, page.Revision, uint64(12))
-		page, err = m.Watch(ctx, WatchRequest{Kind: "k", Since: 11, Wait: time.Second}) // of a follower that knows c from the store
+		page, err = m.Watch(ctx, WatchRequest{Kind: "k", Since: 11, Wait: time.Second}) // as a reader that has c from the store
 		assert.NilError(t, err)
 		assert.DeepEqual(t, names(page), []string{"-a"})
 		page, err = m.List(ctx, "k")
@@ -71,7 +72,7 @@
 	})
 }
 
-func TestMirrorThatKnowsNothing(t *testing.T) {
+func TestEmptyMirrorIsUnavailable(t *testing.T) {
 	m := NewMirror(func() time.Duration { return 0 }, func() time.Duration { return time.Minute })
 	_, err := m.List(context.Background(), "k")
 	assert.Assert(t, errorx.IsOfType(err, platform.ErrUnavailable))
@@ -79,15 +80,15 @@
 	assert.Assert(t, errorx.IsOfType(err, platform.ErrUnavailable))
 }
 
-// TestMirrorForgets: a follower that missed removals which are forgotten has to list again; so has one
-// from before this instance's own list.
-func TestMirrorForgets(t *testing.T) {
+// TestMirrorReportsForgottenHistory checks that a reader has to list again if it missed removals
+// that are not kept any more, or if its revision is older than that of the mirror's own list.
+func TestMirrorReportsForgottenHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, _ := mirrorWorld()
+		m, _ := newTestMirror()
 		ctx := context.Background()
 		_, err := m.Watch(ctx, WatchRequest{Kind: "k", Since: 8, Wait: time.Millisecond})
 		assert.Assert(t, errorx.IsOfType(err, platform.ErrHistoryGone))
-		for i := range removedMost + 1 {
+		for i := range maxRemoved + 1 {
 			o := object(fmt.Sprint("x", i), 10)
 			o.Deleted = true
 			m.update("k", 0, &platform.Page{Objects: []platform.Object{o}, Revision: uint64(10 + i)})
@@ -99,9 +100,10 @@
 	})
 }
 
-// TestMirrorThatIsCutOffSaysSo: its followers have to leave it well before they get new work to an endpoint
-// that left, so a waiting watch ends as soon as the knowledge is too old.
-func TestMirrorThatIsCutOffSaysSo(t *testing.T) {
+// TestStaleMirrorEndsWaitingWatch checks that a waiting watch fails as soon as the data is too old.
+// Instances that follow a mirror without fresh data have to change to another source in time;
+// otherwise they send new requests to endpoints that have left.
+func TestStaleMirrorEndsWaitingWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		m := NewMirror(func() time.Duration { return time.Since(began) }, func() time.Duration { return 1250 * time.Millisecond })
--- a/gateway/follow/rollouts.go
+++ b/gateway/follow/rollouts.go
@@ -10,61 +10,64 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Rollouts are the orders to move services to other builds. It is safe for concurrent use.
+// Rollouts holds the orders to move services to other builds. It is safe for concurrent use.
 type Rollouts struct {
-	loop    loop
-	changes func(orders map[string]platform.Rollout, proved time.Duration)
+	loop     loop
+	onChange func(orders map[string]platform.Rollout, currentAt time.Duration)
 
-	mu     sync.Mutex
-	orders map[string]platform.Rollout
-	proof  revision.Freshness
+	mu        sync.Mutex
+	orders    map[string]platform.Rollout
+	freshness revision.Freshness
 }
 
-// NewRollouts returns a follower that knows nothing yet. changes is called with all orders after each answer, also where nothing has
-// changed, since each answer says that they are still the newest.
-func NewRollouts(o Options, changes func(orders map[string]platform.Rollout, proved time.Duration)) *Rollouts {
-	return &Rollouts{loop: loop{Options: o, kind: platform.KindRollout}, changes: changes, orders: map[string]platform.Rollout{}}
+// NewRollouts returns a Rollouts that holds no orders yet. onChange is called with all orders after
+// each answer, even if nothing has changed, since each answer confirms that they are the newest.
+// currentAt is the latest time at which they certainly were.
+func NewRollouts(o Options, onChange func(orders map[string]platform.Rollout, currentAt time.Duration)) *Rollouts {
+	return &Rollouts{loop: loop{Options: o, kind: platform.KindRollout}, onChange: onChange, orders: map[string]platform.Rollout{}}
 }
 
-// Run follows the store until ctx ends.
+// Run keeps the orders up to date until ctx ends.
 func (r *Rollouts) Run(ctx context.Context) { r.loop.run(ctx, r) }
 
-// Age returns how long ago the orders were known to be the newest; false when they are not known.
+// Age returns the time since the orders were last known to be the newest. It returns false if they
+// never were.
 func (r *Rollouts) Age() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.proof.Age(r.loop.Now())
+	return r.freshness.Age(r.loop.Now())
 }
 
-func (r *Rollouts) replace(proved time.Duration, objects []platform.Object) {
+func (r *Rollouts) replace(currentAt time.Duration, objects []platform.Object) {
 	r.mu.Lock()
 	clear(r.orders)
 	r.mu.Unlock()
-	r.changed(proved, objects)
+	r.update(currentAt, objects)
 }
 
-func (r *Rollouts) changed(proved time.Duration, objects []platform.Object) {
+func (r *Rollouts) update(currentAt time.Duration, objects []platform.Object) {
 	r.mu.Lock()
 	for i := range objects {
-		r.take(&objects[i])
+		r.apply(&objects[i])
 	}
-	r.proof.Confirm(proved)
+	r.freshness.Confirm(currentAt)
 	orders := maps.Clone(r.orders)
 	r.mu.Unlock()
-	r.changes(orders, proved)
+	r.onChange(orders, currentAt)
 }
 
-func (r *Rollouts) unreachable(time.Duration) {}
+func (r *Rollouts) readFailed(time.Duration) {}
 
-// take takes one object. One that can't be followed moves nothing. The caller holds mu.
-func (r *Rollouts) take(o *platform.Object) {
+// apply updates one order. An invalid object deletes the order, so that no requests are moved. The
+// caller holds mu.
+func (r *Rollouts) apply(o *platform.Object) {
 	if o.Deleted {
 		delete(r.orders, o.Name)
 		return
 	}
 	decoded, err := platform.DecodeRollout(*o)
 	if err != nil {
-		r.loop.Log.WithError(err).WithField("object", o.Name).Error("rollout can't be followed; nothing is moved")
+		r.loop.Log.WithError(err).WithField("object", o.Name).Error("ignoring an invalid rollout; no requests are moved")
 		delete(r.orders, o.Name)
 		return
 	}
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -207,7 +207,7 @@
 			Without: without(&s.Mechanisms),
 		},
 		Configuration: f.configuration, Known: f.known, Placement: f.placement, Pool: f.pool, Others: f.others(), Crashes: f.held(), Rollouts: f.forwardRollouts(), Clock: f.env.Clock,
-		Ended: f.endpoints.Ended, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
+		Ended: f.endpoints.MarkEnded, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
 	})
 }
 
--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -27,7 +27,7 @@
 	f := s.f
 	f.placement.SetPeer(instance, t)
 	if len(t.Ended) > 0 {
-		f.endpoints.Ended(t.Ended...)
+		f.endpoints.MarkEnded(t.Ended...)
 	}
 	f.forwarder.HeardUses(instance, uses)
 }
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -44,7 +44,7 @@
 	}
 	return s.Relay.Mirror.Watch(ctx, follow.WatchRequest{
 		Kind: r.Kind, Since: r.Since,
-		Wait: time.Duration(r.WaitMs) * time.Millisecond, Known: time.Duration(r.KnownAgeMs) * time.Millisecond,
+		Wait: time.Duration(r.WaitMs) * time.Millisecond, KnownAge: time.Duration(r.KnownAgeMs) * time.Millisecond,
 	})
 }
 
