--- a/gateway/relay/remote.go
+++ b/gateway/relay/peer_store.go
@@ -11,41 +11,43 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// remote follows another instance.
-type remote struct {
+// peerStore reads from another instance.
+type peerStore struct {
 	relay       *Relay
 	id, address string
 }
 
 const (
-	// waitMore is by which part of its wait a watch of another instance waits longer than one of the store: that
-	// instance answers when its own watch has ended, which takes a little longer than the wait.
-	waitMore = 4
-	// watchPatience is how long an instance may take to answer a watch besides: an answer takes 3 ms, and a change
-	// of 200 kB on a link of 10 Mbit/s 160 ms.
-	watchPatience = 400 * time.Millisecond
-	// listOfPeerPatience is the same for all objects: a megabyte takes 0.8 s on that link.
-	listOfPeerPatience = 1500 * time.Millisecond
+	// extraWaitDivisor makes a watch of another instance wait longer than one of the store, by the
+	// wait divided by it. The other instance answers when its own watch has ended, which takes a
+	// little longer than the wait.
+	extraWaitDivisor = 4
+	// peerWatchTimeout is the time that an instance has to answer a watch, in addition to the wait.
+	// An answer takes 3 ms, and a change of 200 kB on a link of 10 Mbit/s takes 160 ms.
+	peerWatchTimeout = 400 * time.Millisecond
+	// peerListTimeout is the time that an instance has to answer a list. A megabyte takes 0.8 s on
+	// such a link.
+	peerListTimeout = 1500 * time.Millisecond
 )
 
 var watchStore = peerv1connect.PeerServiceClient.WatchStore
 
 // List implements [follow.Store].
-func (r *remote) List(ctx context.Context, kind string) (platform.Page, error) {
-	return r.call(ctx, &peerv1.WatchStoreRequest{Kind: kind, All: true}, listOfPeerPatience)
+func (r *peerStore) List(ctx context.Context, kind string) (platform.Page, error) {
+	return r.call(ctx, &peerv1.WatchStoreRequest{Kind: kind, All: true}, peerListTimeout)
 }
 
 // Watch implements [follow.Store].
-func (r *remote) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platform.Page, error) {
-	wait += wait / waitMore
+func (r *peerStore) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platform.Page, error) {
+	wait += wait / extraWaitDivisor
 	req := &peerv1.WatchStoreRequest{Kind: kind, Since: since, WaitMs: uint32(wait.Milliseconds())}
 	if age, known := r.relay.Mirror.Age(kind); known {
 		req.KnownAgeMs = uint32(age.Milliseconds())
 	}
-	return r.call(ctx, req, wait+watchPatience)
+	return r.call(ctx, req, wait+peerWatchTimeout)
 }
 
-func (r *remote) call(ctx context.Context, req *peerv1.WatchStoreRequest, timeout time.Duration) (platform.Page, error) {
+func (r *peerStore) call(ctx context.Context, req *peerv1.WatchStoreRequest, timeout time.Duration) (platform.Page, error) {
 	resp, err := peers.Call(ctx, r.relay.Pool, r.address, timeout, watchStore, req)
 	if err != nil {
 		r.relay.report(func(c *source.Chooser, now time.Duration) { c.PeerFailed(now, r.id) })
@@ -55,12 +57,12 @@
 		r.relay.report(func(c *source.Chooser, now time.Duration) { c.PeerStale(now, r.id) })
 	}
 	if resp.Stale {
-		return platform.Page{}, platform.ErrUnavailable.New("the store does not answer instance %s", r.id)
+		return platform.Page{}, platform.ErrUnavailable.New("instance %s has no fresh data", r.id)
 	}
 	if resp.Gone {
-		return platform.Page{}, platform.ErrHistoryGone.New("instance %s has forgotten", r.id)
+		return platform.Page{}, platform.ErrHistoryGone.New("instance %s does not keep the changes since the revision any more", r.id)
 	}
-	r.relay.storeTook(time.Duration(resp.StoreTookMs) * time.Millisecond)
+	r.relay.setStoreLatency(time.Duration(resp.StoreTookMs) * time.Millisecond)
 	return decode(resp), nil
 }
 
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -1,9 +1,14 @@
-// Package relay lets instances follow each other in place of the platform's store, as core/source decides: what
-// the store is asked grows with the number of data centres and not of instances.
+// Package relay reads the platform's store through other instances, and serves what this instance
+// has read to those that follow it. Package core/source decides which source is read. So the number
+// of calls to the store grows with the number of regions and not with the number of instances.
 //
-// Failure modes: nothing is proved by an instance's word alone, since the age that it tells counts from the
-// beginning of the call that asked for it. An instance that is cut off from the store answers those who wait for
-// it at once, so that they follow another one before their own knowledge is too old.
+// Invariant: data of another instance never counts as newer than it is. The time at which it was
+// current is computed from the start of the call on this instance's own clock. So neither the clock
+// of the other instance nor a delayed answer can make it newer.
+//
+// Failure modes: when the store stops answering an instance, the instance ends the watches of its
+// followers at once, so that they choose another source before their own data is too old. An
+// instance whose data is too old answers that it is stale.
 package relay
 
 import (
@@ -20,49 +25,51 @@
 	"github.com/agateway/agateway/gateway/peers"
 )
 
-// Options of a relay.
+// Options configure a [Relay].
 type Options struct {
-	// Settings say who this instance is and how many ask the store.
+	// Settings name this instance, and say how many instances ask the store.
 	Settings source.Settings
 	Store    follow.Store
 	Mirror   *follow.Mirror
-	Others   func() []exchange.Peer
-	Pool     *peers.Pool
-	// Changed is called when the store stops or begins to answer this instance.
-	Changed func()
-	Clock   clock.Now
-	Log     *logrus.Entry
+	// Others returns the other instances that are alive.
+	Others func() []exchange.Peer
+	Pool   *peers.Pool
+	// AccessChanged is called when the outcome of a call changes [Relay.Access].
+	AccessChanged func()
+	Clock         clock.Now
+	Log           *logrus.Entry
 }
 
-// Relay asks the store, or another instance, and answers those that follow this one. It is safe for concurrent
-// use.
+// Relay reads from the store or from another instance. It is safe for concurrent use.
 type Relay struct {
 	Options
 	mu      sync.Mutex
 	chooser *source.Chooser
+	// follows is the ID of the instance that is followed; empty for the store.
 	follows string
-	// took is how long the store's answers take now: to this instance, or as the one that it follows tells.
-	took time.Duration
+	// storeLatency is how long the store's last answer took, to this instance or to the one at the
+	// root of the chain that it follows.
+	storeLatency time.Duration
 }
 
-// New returns a relay.
+// New returns a relay that has not chosen a source yet.
 func New(o Options) *Relay {
-	return &Relay{Options: o, chooser: source.New(o.Settings), follows: unknown}
+	return &Relay{Options: o, chooser: source.New(o.Settings), follows: notChosen}
 }
 
-// unknown is followed before the first choice.
-const unknown = "nobody yet"
+// notChosen is the value of Relay.follows before the first choice. Operators see it as it is.
+const notChosen = "nobody yet"
 
-// Source returns whom to ask next.
+// Source returns where to read next.
 func (r *Relay) Source() follow.Source {
 	others := r.Others()
 	choice := r.choose(others)
 	for i := range others {
 		if others[i].ID == choice.Peer {
-			return follow.Source{Store: &remote{r, choice.Peer, others[i].Peers}}
+			return follow.Source{Store: &peerStore{r, choice.Peer, others[i].Peers}}
 		}
 	}
-	return follow.Source{Store: &store{r, choice}, Direct: true}
+	return follow.Source{Store: &directStore{r, choice}, Direct: true}
 }
 
 func (r *Relay) choose(others []exchange.Peer) source.Choice {
@@ -82,59 +89,64 @@
 	return choice
 }
 
-// Follows returns the instance that is followed; empty for the store itself.
+// Follows returns the ID of the instance that is followed. It is empty for the store itself, and
+// "nobody yet" before the first choice.
 func (r *Relay) Follows() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.follows
 }
 
-// Access tells whether the store answers this instance.
+// Access returns whether the store answers this instance.
 func (r *Relay) Access() source.Access {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chooser.Access(r.Clock())
 }
 
-// staleFactor times what the store's answers take is how much older than in calm times knowledge may be that is
-// passed on: a watch that ends with a change proves what was known when it began, and the next one takes as long.
-const staleFactor = 2
+// slackFactor is how many times the store's latency is added to the age that served data may have.
+// A watch that ends with a change only shows that the data was the newest when the watch began, and
+// the next watch takes as long again.
+const slackFactor = 2
 
-// StaleMost is the most that a slow store adds, so that keys can still be served.
-const StaleMost = time.Second
+// MaxSlack bounds [Relay.Slack], since requests with keys are refused if the configuration is too
+// old.
+const MaxSlack = time.Second
 
-// Slack returns by how much knowledge may be older than in calm times, since the store is slow.
+// Slack returns how much older than usual served data may be because the store is slow.
 func (r *Relay) Slack() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(staleFactor*r.took, StaleMost)
+	return min(slackFactor*r.storeLatency, MaxSlack)
 }
 
-func (r *Relay) tookMS() uint32 {
+func (r *Relay) storeLatencyMS() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return uint32(r.took.Milliseconds())
+	return uint32(r.storeLatency.Milliseconds())
 }
 
-// storeTook takes how long the store's answers take now.
-func (r *Relay) storeTook(d time.Duration) {
+// setStoreLatency records how long the store's last answer took.
+func (r *Relay) setStoreLatency(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.took = d
+	r.storeLatency = d
 }
 
-// report hands an outcome to the chooser, and tells when the store stops or begins to answer this instance.
-func (r *Relay) report(take func(c *source.Chooser, now time.Duration)) {
+// report calls record with the chooser. If that changes whether the store answers this instance, it
+// calls AccessChanged, and ends the waiting watches of followers if the store has stopped
+// answering.
+func (r *Relay) report(record func(c *source.Chooser, now time.Duration)) {
 	r.mu.Lock()
 	now := r.Clock()
 	before := r.chooser.Access(now)
-	take(r.chooser, now)
+	record(r.chooser, now)
 	access := r.chooser.Access(now)
 	r.mu.Unlock()
 	if access == before {
 		return
 	}
-	r.Changed()
+	r.AccessChanged()
 	if access == source.StoreUnreachable {
 		r.Mirror.Interrupt()
 	}
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -14,16 +14,17 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Server answers the instances that follow this one.
+// Server serves this instance's data to the instances that follow it.
 type Server struct {
 	peerv1connect.UnimplementedPeerServiceHandler
 	Relay *Relay
 }
 
-// WatchStore implements the schema's service.
+// WatchStore implements [peerv1connect.PeerServiceHandler]. It returns no error: the response says
+// if the data is stale or the history gone.
 func (s *Server) WatchStore(ctx context.Context, r *connect.Request[peerv1.WatchStoreRequest]) (*connect.Response[peerv1.WatchStoreResponse], error) {
 	began := s.Relay.Clock()
-	page, err := s.ask(ctx, r.Msg)
+	page, err := s.read(ctx, r.Msg)
 	out := &peerv1.WatchStoreResponse{CutOff: s.Relay.Access() == source.StoreUnreachable}
 	switch {
 	case errorx.IsOfType(err, platform.ErrHistoryGone):
@@ -32,13 +33,13 @@
 		out.Stale = true
 	default:
 		encode(out, &page)
-		out.StoreTookMs = s.Relay.tookMS()
+		out.StoreTookMs = s.Relay.storeLatencyMS()
 		out.HeldMs = uint32((s.Relay.Clock() - began).Milliseconds())
 	}
 	return connect.NewResponse(out), nil
 }
 
-func (s *Server) ask(ctx context.Context, r *peerv1.WatchStoreRequest) (platform.Page, error) {
+func (s *Server) read(ctx context.Context, r *peerv1.WatchStoreRequest) (platform.Page, error) {
 	if r.All {
 		return s.Relay.Mirror.List(ctx, r.Kind)
 	}
@@ -48,7 +49,7 @@
 	})
 }
 
-// encode rounds the age up, so that what is passed on never seems fresher than it is.
+// encode rounds the age up, so that the data never seems fresher than it is.
 func encode(out *peerv1.WatchStoreResponse, page *platform.Page) {
 	out.Revision, out.AgeMs = page.Revision, uint32(page.Age.Milliseconds())+1
 	for _, o := range page.Objects {
