--- a/cli/command/rollouts.go
+++ b/cli/command/rollouts.go
@@ -24,6 +24,6 @@
 		s := &all[i]
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%v\t%d\t%d\t%d\t%d\t%.1f of %.1f\t%d\t%s\n",
 			s.Service, s.Target, s.State, s.Decision, seconds(s.AgeMS), seconds(s.DurationMS), s.Baseline, s.Exposed, s.Answered, s.Failed,
-			s.Evidence, s.Needed, s.Left, s.Why)
+			s.Evidence, s.Needed, s.Undrained, s.Why)
 	}
 }
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -215,8 +215,8 @@
 	l := req.loss(e)
 	l.SentAt, l.Reused = time.Now(), conn.Reused()
 	t := f.Rollouts.Begin(req.route.Name, e)
-	t.Left(true)
-	defer t.Left(false)
+	t.SetUndrained(true)
+	defer t.SetUndrained(false)
 	f.Placement.Sent(e.ID, routing.Placed{})
 	defer f.Placement.Finished(e.ID, routing.Placed{})
 	x, err := conn.Do(ctx, req.outgoing(&platform.Send{
--- a/gateway/forward/rollouts.go
+++ b/gateway/forward/rollouts.go
@@ -66,7 +66,7 @@
 	case 1:
 		a.firstAt = now
 	case gapEvents + 1:
-		a.trial.Gap(now.Sub(a.firstAt) / gapEvents)
+		a.trial.EventGap(now.Sub(a.firstAt) / gapEvents)
 	}
 }
 
@@ -96,7 +96,7 @@
 			copied = false
 		}
 	}
-	a.trial.Left(a.began && !copied)
+	a.trial.SetUndrained(a.began && !copied)
 	if s.f.Rollouts.RolledBack(&a.endpoint) && copied && a.began {
 		s.f.Log.Decision(s.req.ID, "build rolled back", logrus.Fields{"attempt": a.number, "endpoint": a.endpoint.ID, "events": s.relayed})
 		a.over = true
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -364,7 +364,7 @@
 	s.f.exit(s)
 	s.tried()
 	for _, a := range s.attempts {
-		a.trial.Left(false)
+		a.trial.SetUndrained(false)
 		a.cancel()
 	}
 	s.leaveCopy()
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -66,7 +66,7 @@
 	exchange      *exchange.Exchange
 	crashes       *crashes.Register
 	// rollouts and orders are nil where services are not moved to other builds.
-	rollouts *rollouts.Register
+	rollouts *rollouts.Controller
 	orders   *follow.Rollouts
 	mirror   *follow.Mirror
 	relay    *relay.Relay
@@ -305,7 +305,7 @@
 		all = f.rollouts.Usable(all)
 	}
 	f.placement.SetEndpoints(all)
-	if table != nil && len(all) > 0 && (f.rollouts == nil || f.rollouts.Known()) {
+	if table != nil && len(all) > 0 && (f.rollouts == nil || f.rollouts.OrdersRead()) {
 		f.knownOnce.Do(func() {
 			close(f.known)
 			f.forwarder.FirstLook()
--- a/gateway/front/rollouts.go
+++ b/gateway/front/rollouts.go
@@ -20,12 +20,12 @@
 	s.ExposureShare, s.ExposureReserve, s.MaxRollBackDelay = set.Share, set.Reserve, set.RollBack
 	f.rollouts = rollouts.New(rollouts.Options{
 		Settings: s, Self: f.settings.Instance.ID, DataCentre: f.settings.Instance.DataCentre, Store: f.store,
-		Others:   func() []rollout.Source { return f.exchange.RolloutSources() },
-		ProofAge: func() (time.Duration, bool) { return f.orders.Age() },
-		Relist:   func() { f.endpoints.Publish() }, Settle: f.settle, Tell: func() { f.exchange.TellDecision() },
+		Others:    func() []rollout.Source { return f.exchange.RolloutSources() },
+		OrdersAge: func() (time.Duration, bool) { return f.orders.Age() },
+		Relist:    func() { f.endpoints.Publish() }, Drain: f.settle, AnnounceDecision: func() { f.exchange.TellDecision() },
 		Clock: f.env.Clock, Log: f.telemetry.Log, Scope: f.telemetry.Scope,
 	})
-	f.orders = follow.NewRollouts(following, f.rollouts.Orders)
+	f.orders = follow.NewRollouts(following, f.rollouts.SetOrders)
 }
 
 // settleParts: a prompt of one part in so many of an engine's memory is taken for a long one.
--- a/gateway/rollouts/choose.go
+++ b/gateway/rollouts/choose.go
@@ -9,15 +9,17 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// A canary gets as many of the target's endpoints as give each about the load of one of the baseline's: some builds are bad under
-// load only. A few are the least, since a single one may be bad by itself.
+// The requests of a canary go to canaryFraction of the target's endpoints, so that each of them has
+// about the load of an endpoint of the baseline: some builds are bad under load only. At least
+// minCanaryEndpoints are used, since a single endpoint may be bad whatever build it runs.
 const (
-	canaryPart         = 0.1
+	canaryFraction     = 0.1
 	minCanaryEndpoints = 3
 )
 
-// count takes how many usable endpoints there are of each side, and picks those of a canary.
-func (s *service) count(all []routing.Endpoint) {
+// setEndpoints counts the live endpoints of the target and of the baseline, and chooses the
+// target's endpoints that get the requests of a canary.
+func (s *service) setEndpoints(all []routing.Endpoint) {
 	if s.order == nil {
 		return
 	}
@@ -37,14 +39,15 @@
 	}
 	s.order.SetEndpoints(n)
 	s.canary = map[string]bool{}
-	for _, id := range rendezvous.Rank(target, ids, max(int(math.Ceil(canaryPart*float64(len(ids)))), minCanaryEndpoints)) {
+	for _, id := range rendezvous.Rank(target, ids, max(int(math.Ceil(canaryFraction*float64(len(ids)))), minCanaryEndpoints)) {
 		s.canary[id] = true
 	}
 }
 
-// Builds returns the builds that may serve a request of a route. draw is a random number between 0 and 1, drawn once a request; 1
-// keeps it at the baseline while any requests stay there.
-func (r *Register) Builds(name, route string, draw float64) routing.BuildFilter {
+// Builds returns the builds that may serve a request of a route of the named service. draw is a
+// random number from 0 to 1 that is drawn once for each request. A request with 1 stays at the
+// baseline until all requests go to the target.
+func (r *Controller) Builds(name, route string, draw float64) routing.BuildFilter {
 	if !r.active.Load() {
 		return routing.BuildFilter{}
 	}
@@ -68,8 +71,10 @@
 	return routing.BuildFilter{Only: target, Among: s.canary}
 }
 
-// CopyBuilds returns the builds whose endpoints may keep a copy of a request's memory: those that outlast the order.
-func (r *Register) CopyBuilds(name string) routing.BuildFilter {
+// CopyBuilds returns the builds whose endpoints may keep a copy of a request's memory. These are
+// the builds that are expected to remain when the order ends: the target while requests move to it,
+// and all others before that and after a roll-back.
+func (r *Controller) CopyBuilds(name string) routing.BuildFilter {
 	if !r.active.Load() {
 		return routing.BuildFilter{}
 	}
@@ -85,8 +90,9 @@
 	return routing.BuildFilter{Except: s.target()}
 }
 
-// ResumeWait returns how long a stream waits that an endpoint has broken off before it goes on elsewhere.
-func (r *Register) ResumeWait(e *routing.Endpoint) time.Duration {
+// ResumeWait returns how long a stream that broke off at an endpoint waits before it goes on at
+// another one; 0 means no wait.
+func (r *Controller) ResumeWait(e *routing.Endpoint) time.Duration {
 	if !r.active.Load() {
 		return 0
 	}
@@ -99,8 +105,9 @@
 	return s.order.ResumeWait(r.now())
 }
 
-// RolledBack tells whether a request has to leave an endpoint, since its build was rolled back.
-func (r *Register) RolledBack(e *routing.Endpoint) bool {
+// RolledBack reports whether a request has to leave an endpoint because its build was rolled back
+// or the order was withdrawn.
+func (r *Controller) RolledBack(e *routing.Endpoint) bool {
 	if !r.active.Load() {
 		return false
 	}
--- a/gateway/rollouts/codec.go
+++ b/gateway/rollouts/codec.go
@@ -6,7 +6,7 @@
 	"github.com/agateway/agateway/gateway/clock"
 )
 
-// EncodeReports returns reports as other instances are told them.
+// EncodeReports returns reports in the form in which they are sent to other instances.
 func EncodeReports(reports []rollout.Report) []*peerv1.RolloutReport {
 	out := make([]*peerv1.RolloutReport, len(reports))
 	for i := range reports {
@@ -32,7 +32,8 @@
 	return out
 }
 
-// encodeHistogram leaves out the empty buckets on both sides.
+// encodeHistogram returns the index of the first bucket that is not empty, and the buckets from
+// there to the last one that is not.
 func encodeHistogram(h *rollout.Histogram) (from uint32, counts []uint64) {
 	first, last := len(h), -1
 	for i, n := range h {
@@ -46,7 +47,8 @@
 	return uint32(first), h[first : last+1]
 }
 
-// DecodeReports returns what another instance told.
+// DecodeReports returns the reports that another instance sent. It leaves out those without a
+// service or with an unknown decision.
 func DecodeReports(reports []*peerv1.RolloutReport) []rollout.Report {
 	var out []rollout.Report
 	for _, r := range reports {
--- a/gateway/rollouts/codec_test.go
+++ b/gateway/rollouts/codec_test.go
@@ -12,8 +12,9 @@
 	"github.com/agateway/agateway/gateway/clock"
 )
 
-// TestReportsAcross: what is told arrives as it was, and a report of a busy service fits into two packets.
-func TestReportsAcross(t *testing.T) {
+// TestReportsSurviveEncoding checks that decoding returns the encoded reports, and that a report of
+// a busy service fits into two packets.
+func TestReportsSurviveEncoding(t *testing.T) {
 	tally := rollout.Tally{}
 	for _, route := range []string{"r-0123456", "r-6543210", "r-9999999", "r-1111111"} {
 		base := tally.At(rollout.Cell{Route: route})
@@ -39,7 +40,8 @@
 	assert.Assert(t, size < 2900, "%d bytes", size)
 }
 
-// FuzzDecodeReports: whatever comes, decoding ends and bounds what it believes.
+// FuzzDecodeReports checks that decoding any message ends, and that decoded ages and decisions are
+// within their bounds.
 func FuzzDecodeReports(f *testing.F) {
 	raw, err := proto.Marshal(&peerv1.Rollouts{Reports: EncodeReports([]rollout.Report{{
 		Service: "s", OrderID: "o", Tally: rollout.Tally{{Route: "r"}: {Sent: 1}},
--- a/gateway/rollouts/doc.go
+++ b/gateway/rollouts/doc.go
@@ -1,10 +1,16 @@
-// Package rollouts moves services to other builds of their endpoints, as operators order it through the platform's store. The
-// decisions are those of core/rollout.
+// Package rollouts moves services to other builds of their endpoints, as operators order it through
+// the platform's store. Package core/rollout makes the decisions.
 //
-// It filters the list of endpoints by their builds, says for each request which builds may serve it, counts what becomes of requests
-// ([Trial]), and tells the other instances the counts (package exchange). Whoever decides an outcome tells all others at once, and
-// the instances write it to the store one after the other, in an order by hash, until it is there.
+// A [Controller] filters the list of endpoints by their builds, and says for each request which
+// builds may serve it. It counts the outcomes of requests ([Trial]); package exchange sends the
+// counts to the other instances. An instance that decides to move or to roll back announces that to
+// all others at once. All instances then try to write the state to the store, one after the other
+// in an order by hash, until it is written.
 //
-// Failure modes: an instance that hears neither the store nor the others sends nothing to a target that is not in service. While the
-// store is away, a roll-back is in force wherever it was heard, and is written when the store is back.
+// Failure modes:
+//
+//   - An instance that reaches neither the store nor enough of the others sends nothing to a target
+//     whose order is not completed.
+//   - While the store is down, a roll-back is in force at every instance that received it. It is
+//     written once the store is back.
 package rollouts
--- a/gateway/rollouts/rollouts.go
+++ b/gateway/rollouts/rollouts.go
@@ -16,75 +16,84 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Store takes the outcomes of orders.
+// Store writes the states of orders.
 type Store interface {
 	ReplaceStatus(ctx context.Context, kind, name string, status json.RawMessage, revision uint64) (platform.Object, error)
 }
 
-// Options of a register.
+// Options configure a [Controller].
 type Options struct {
 	Settings rollout.Settings
-	// Self is this instance, DataCentre where it runs.
+	// Self is the name of this instance, and DataCentre is where it runs.
 	Self, DataCentre string
 	Store            Store
-	// Others are the other instances that are alive.
+	// Others returns the other instances that are alive.
 	Others func() []rollout.Source
-	// ProofAge returns how long ago the orders were known to be the newest; false when they are not known.
-	ProofAge func() (time.Duration, bool)
-	// Relist is called when the endpoints that may be used have changed.
+	// OrdersAge returns the time since the orders were last known to be the newest. It returns
+	// false if they never were.
+	OrdersAge func() (time.Duration, bool)
+	// Relist is called when the endpoints that may be used may have changed.
 	Relist func()
-	// Settle returns how long streams of a service usually take until they can go on elsewhere; 0 for services without streams.
-	Settle func(service string) time.Duration
-	// Tell makes the others learn at once.
-	Tell func()
+	// Drain returns how long streams of a service usually take until they can go on at another
+	// endpoint. It returns 0 for services without streams.
+	Drain func(service string) time.Duration
+	// AnnounceDecision sends a new decision to the other instances at once.
+	AnnounceDecision func()
 	// Clock also runs while the machine is suspended.
 	Clock clock.Now
 	Log   *logrus.Entry
 	Scope tally.Scope
 }
 
-// Register holds the orders that are known. It is safe for concurrent use.
-type Register struct {
+// Controller carries out the orders to move services to other builds. It is safe for concurrent
+// use.
+type Controller struct {
 	Options
 	metrics metrics
-	// active is set while any order is not over, for the path of each request.
+	// active is set while any order restricts requests. It saves most requests the lock.
 	active atomic.Bool
-	wake   chan struct{}
+	wake   chan struct{} // makes Run call tick at once
 
 	mu       sync.Mutex
 	services map[string]*service
-	// listed is set once the orders were read for the first time.
-	listed bool
-	proved time.Time
+	// ordersRead is set once the orders were read for the first time. ordersCurrentAt is when they
+	// were last known to be the newest.
+	ordersRead      bool
+	ordersCurrentAt time.Time
 }
 
-// service is what is known of a service's builds.
+// service is the state of one service's builds.
 type service struct {
 	name   string
 	builds rollout.Builds
-	// order is the one in progress or the last one; nil for none. withdrawn tells that the operator took it back.
+	// order is the one in progress or the last one; nil for none. given is when it was given, and
+	// revision that of its object in the store. withdrawn is set if the operator removed it before
+	// it was completed.
 	order     *rollout.Rollout
 	given     time.Time
 	revision  uint64
 	withdrawn bool
-	// canary are the endpoints of the target that get the requests of a canary.
+	// canary holds the IDs of the target's endpoints that get the requests of a canary.
 	canary map[string]bool
-	// open counts requests at the baseline that can't go on at the target.
-	open int
-	// writeAt is when this instance writes the outcome, if nobody has by then.
-	writeAt time.Time
-	logged  rollout.Decision
+	// undrained counts this instance's requests that are at the baseline and can't go on at the
+	// target.
+	undrained int
+	// writeAt is when this instance writes the pending state, unless another one has written it by
+	// then; zero if none is pending.
+	writeAt        time.Time
+	loggedDecision rollout.Decision
 }
 
-// New returns a register that knows no orders.
-func New(o Options) *Register {
-	return &Register{Options: o, metrics: newMetrics(o.Scope), wake: make(chan struct{}, 1), services: map[string]*service{}}
+// New returns a controller that knows no orders.
+func New(o Options) *Controller {
+	return &Controller{Options: o, metrics: newMetrics(o.Scope), wake: make(chan struct{}, 1), services: map[string]*service{}}
 }
 
-// now is the time that decisions count in.
-func (r *Register) now() time.Time { return time.Unix(0, 0).Add(r.Clock()) }
+// now returns the time of Clock as a [time.Time], which core/rollout uses. It is not the wall
+// clock.
+func (r *Controller) now() time.Time { return time.Unix(0, 0).Add(r.Clock()) }
 
-func (r *Register) service(name string) *service {
+func (r *Controller) service(name string) *service {
 	s := r.services[name]
 	if s == nil {
 		s = &service{name: name}
@@ -93,7 +102,7 @@
 	return s
 }
 
-// target returns the target of the service's order; empty where there is none.
+// target returns the target of the service's order. It is empty if there is no order.
 func (s *service) target() string {
 	if s.order == nil {
 		return ""
@@ -108,35 +117,38 @@
 	return s.order.State()
 }
 
-// running tells that the service's order is not over.
+// running reports whether there is an order that is neither withdrawn nor in a final state.
 func (s *service) running() bool { return s.order != nil && !s.withdrawn && !s.order.State().Final() }
 
-// over tells that the service's order restricts nothing any more.
-func (s *service) over(now time.Time) bool {
+// inactive reports whether the service's order does not restrict requests any more. There has to be
+// an order.
+func (s *service) inactive(now time.Time) bool {
 	return s.order.State() == rollout.Completed && s.order.Age(now) >= s.order.Order().Duration
 }
 
-// informed tells that this instance would know of a roll-back: the orders were read a short while ago, or the others are heard. The
-// caller holds mu.
-func (r *Register) informed(s *service, now time.Time) bool {
-	if age, known := r.ProofAge(); known && age < r.Settings.MaxRollBackDelay/informedParts {
+// informed reports whether this instance would learn of a roll-back: it has read the orders lately,
+// or receives the counts of the other instances. The caller holds mu.
+func (r *Controller) informed(s *service, now time.Time) bool {
+	if age, known := r.OrdersAge(); known && age < r.Settings.MaxRollBackDelay/informedAgeDivisor {
 		return true
 	}
 	return s.order.Connected(now, r.Others())
 }
 
-// informedParts: knowledge older than a part in so many of the time allowed for a roll-back is too old to send anything to a target.
-const informedParts = 2
+// informedAgeDivisor: orders that are older than MaxRollBackDelay divided by it are too old to send
+// anything to a target.
+const informedAgeDivisor = 2
 
-// Orders takes all orders of the store. proved is when they were known to be the newest, on the register's clock.
-func (r *Register) Orders(orders map[string]platform.Rollout, proved time.Duration) {
+// SetOrders sets all orders to those of the store. currentAt is when they were known to be the
+// newest, in the time of Clock.
+func (r *Controller) SetOrders(orders map[string]platform.Rollout, currentAt time.Duration) {
 	r.mu.Lock()
 	now := r.now()
-	r.proved = time.Unix(0, 0).Add(proved)
-	changed := !r.listed
-	r.listed = true
+	r.ordersCurrentAt = time.Unix(0, 0).Add(currentAt)
+	changed := !r.ordersRead
+	r.ordersRead = true
 	for name, o := range orders {
-		changed = r.order(now, r.service(name), &o) || changed
+		changed = r.setOrder(now, r.service(name), &o) || changed
 	}
 	for name, s := range r.services {
 		if _, still := orders[name]; !still && s.order != nil && !s.withdrawn {
@@ -147,13 +159,14 @@
 	r.refreshActive()
 	r.mu.Unlock()
 	if changed {
-		r.notify()
+		r.wakeRun()
 		r.Relist()
 	}
 }
 
-// order takes one order, and tells whether anything is new. The caller holds mu.
-func (r *Register) order(now time.Time, s *service, o *platform.Rollout) bool {
+// setOrder sets the order of one service, and reports whether the order or its state is new. The
+// caller holds mu.
+func (r *Controller) setOrder(now time.Time, s *service, o *platform.Rollout) bool {
 	s.revision = o.Revision
 	if s.order == nil || s.order.Order() != o.Order {
 		age := time.Duration(0)
@@ -161,7 +174,7 @@
 			age = max(time.Since(o.Given), 0)
 		}
 		s.order = rollout.New(r.Settings, o.Order, now, age, r.DataCentre)
-		s.given, s.withdrawn, s.writeAt, s.logged = time.Now().Add(-age), false, time.Time{}, rollout.Undecided
+		s.given, s.withdrawn, s.writeAt, s.loggedDecision = time.Now().Add(-age), false, time.Time{}, rollout.Undecided
 		s.order.SetState(o.State)
 		r.Log.WithFields(logrus.Fields{
 			"service": s.name, "target": o.Target, "order": o.ID(), "duration_ms": o.Duration.Milliseconds(), "state": o.State.String(),
@@ -174,12 +187,13 @@
 	if s.order.State() == before {
 		return false
 	}
-	r.Log.WithFields(logrus.Fields{"service": s.name, "target": o.Target, "state": o.State.String(), "before": before.String()}).Info("rollout")
+	r.Log.WithFields(logrus.Fields{"service": s.name, "target": o.Target, "state": o.State.String(), "before": before.String()}).Info("rollout changed state")
 	return true
 }
 
-// withdraw takes the end of an order that was removed. Its target is not in service unless it was completed. The caller holds mu.
-func (r *Register) withdraw(s *service) {
+// withdraw handles the removal of an order. Unless the order was completed, its target gets no more
+// requests. The caller holds mu.
+func (r *Controller) withdraw(s *service) {
 	if s.order.State() == rollout.Completed {
 		s.order = nil
 		return
@@ -188,46 +202,46 @@
 	r.Log.WithFields(logrus.Fields{"service": s.name, "target": s.target()}).Warn("rollout withdrawn")
 }
 
-// refreshActive notes whether any order restricts requests. The caller holds mu.
-func (r *Register) refreshActive() {
+// refreshActive sets active if any order restricts requests. The caller holds mu.
+func (r *Controller) refreshActive() {
 	active := false
 	for _, s := range r.services {
-		active = active || s.order != nil && !s.over(r.now())
+		active = active || s.order != nil && !s.inactive(r.now())
 	}
 	r.active.Store(active)
 }
 
-func (r *Register) notify() {
+func (r *Controller) wakeRun() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Known tells whether the orders were read.
-func (r *Register) Known() bool {
+// OrdersRead reports whether the orders were read at least once.
+func (r *Controller) OrdersRead() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.listed
+	return r.ordersRead
 }
 
 // Usable returns the listed endpoints whose builds may get requests.
-func (r *Register) Usable(all []routing.Endpoint) []routing.Endpoint {
+func (r *Controller) Usable(all []routing.Endpoint) []routing.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	builds := map[string]map[string]bool{}
 	for i := range all {
-		of := builds[all[i].Service]
-		if of == nil {
-			of = map[string]bool{}
-			builds[all[i].Service] = of
+		ofService := builds[all[i].Service]
+		if ofService == nil {
+			ofService = map[string]bool{}
+			builds[all[i].Service] = ofService
 		}
-		of[all[i].Build] = true
+		ofService[all[i].Build] = true
 	}
-	for name, of := range builds {
+	for name, ofService := range builds {
 		s := r.service(name)
-		s.builds.Update(now, of, r.proved, s.target(), s.state())
+		s.builds.Update(now, ofService, r.ordersCurrentAt, s.target(), s.state())
 	}
 	var out []routing.Endpoint
 	for i := range all {
@@ -237,13 +251,14 @@
 		}
 	}
 	for name := range builds {
-		r.services[name].count(out)
+		r.services[name].setEndpoints(out)
 	}
 	return out
 }
 
-// waiting tells whether the endpoints have to be listed again because of time alone. The caller holds mu.
-func (r *Register) waiting() bool {
+// buildsChangeWithTime reports whether a build may become usable by the passing of time alone, so
+// that the endpoints have to be listed again. The caller holds mu.
+func (r *Controller) buildsChangeWithTime() bool {
 	for _, s := range r.services {
 		if s.builds.ChangesWithTime() {
 			return true
--- a/gateway/rollouts/run.go
+++ b/gateway/rollouts/run.go
@@ -12,40 +12,41 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Pace of decisions.
 const (
-	// tickEvery is the time between two looks at the orders while any is in progress, and idleEvery while none is.
-	tickEvery = 100 * time.Millisecond
-	idleEvery = 500 * time.Millisecond
-	// writeStep is how long each instance waits for those before it to write an outcome, and writeRanks how many write one after the
-	// other.
-	writeStep  = 150 * time.Millisecond
-	writeRanks = 8
-	// writeAgain is the pause after a write that failed.
-	writeAgain = 300 * time.Millisecond
+	// tickInterval is the time between two updates of the decisions while an order is in progress,
+	// and idleInterval while none is.
+	tickInterval = 100 * time.Millisecond
+	idleInterval = 500 * time.Millisecond
+	// writeStagger is how long an instance waits for each one that ranks before it to write a
+	// state. All instances from maxWriteRank on write at the same time.
+	writeStagger = 150 * time.Millisecond
+	maxWriteRank = 8
+	// writeRetryPause is the least time between two writes of a state by one instance.
+	writeRetryPause = 300 * time.Millisecond
 	// writeTimeout bounds a write.
 	writeTimeout = time.Second
 )
 
-// Run brings decisions up to date, and writes outcomes, until ctx ends.
-func (r *Register) Run(ctx context.Context) {
+// Run updates the decisions, announces new ones, and writes states to the store, until ctx ends.
+func (r *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait, relist, told, due := r.tick()
-		if told {
-			r.Tell()
+		wait, relist, decided, updates := r.tick()
+		if decided {
+			r.AnnounceDecision()
 		}
 		if relist {
 			r.Relist()
 		}
-		for _, w := range due {
-			go r.write(ctx, w)
+		for _, u := range updates {
+			go r.writeState(ctx, u)
 		}
 		pause.Until(ctx, wait, r.wake)
 	}
 }
 
-// outcome is a state that is to be written.
-type outcome struct {
+// stateUpdate is a state of an order that is to be written to the store. given and revision are
+// those of the order.
+type stateUpdate struct {
 	service  string
 	order    rollout.Order
 	state    rollout.State
@@ -53,78 +54,82 @@
 	revision uint64
 }
 
-func (r *Register) tick() (wait time.Duration, relist, told bool, due []outcome) {
+func (r *Controller) tick() (wait time.Duration, relist, decided bool, updates []stateUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	wait, relist = idleEvery, r.waiting()
+	wait, relist = idleInterval, r.buildsChangeWithTime()
 	for _, s := range r.services {
 		if !s.running() {
 			continue
 		}
-		wait = tickEvery
-		s.order.SetUndrained(s.open)
-		s.order.SetDrain(r.settle(s, now))
+		wait = tickInterval
+		s.order.SetUndrained(s.undrained)
+		s.order.SetDrain(r.drain(s, now))
 		s.order.Tick(now, r.informed(s, now))
 		if r.logDecision(s, now) {
-			told, relist = true, true
+			decided, relist = true, true
 			s.writeAt = time.Time{}
 		}
-		if w, ok := r.due(s, now); ok {
-			due = append(due, w)
+		if u, ok := r.dueUpdate(s, now); ok {
+			updates = append(updates, u)
 		}
 	}
 	r.refreshActive()
-	return wait, relist, told, due
+	return wait, relist, decided, updates
 }
 
-// settleShare of the requests may take longer than the time that is left for them to end.
-const settleShare = 0.01
+// drainTailShare is the share of requests that may take longer than the time given by drain.
+const drainTailShare = 0.01
 
-// settle returns how long requests at the baseline take until they end or can go on at the target.
-func (r *Register) settle(s *service, now time.Time) time.Duration {
-	if d := r.Settle(s.name); d > 0 {
+// drain returns how long requests at the baseline usually take until they end or can go on at the
+// target.
+func (r *Controller) drain(s *service, now time.Time) time.Duration {
+	if d := r.Drain(s.name); d > 0 {
 		return d
 	}
-	return s.order.BaselineAnswerTime(now, settleShare)
+	return s.order.BaselineAnswerTime(now, drainTailShare)
 }
 
-// logDecision logs a decision that is new; it returns false when none is.
-func (r *Register) logDecision(s *service, now time.Time) bool {
+// logDecision logs and counts a decision that was not logged yet, and reports whether there was
+// one.
+func (r *Controller) logDecision(s *service, now time.Time) bool {
 	d, why := s.order.Decision()
-	if d == s.logged {
+	if d == s.loggedDecision {
 		return false
 	}
-	s.logged = d
+	s.loggedDecision = d
 	j, t := s.order.Judgement(now)
 	base, target := t.Sent()
 	r.Log.WithFields(logrus.Fields{
 		"service": s.name, "target": s.target(), "decision": d.String(), "why": why, "age_ms": s.order.Age(now).Milliseconds(),
 		"evidence": j.Evidence, "needed": j.Threshold, "answered": j.Answered, "failed": j.Failed, "exposed": target, "baseline": base,
 	}).Warn("rollout decided")
-	r.metrics.decided(d)
+	r.metrics.countDecision(d)
 	return true
 }
 
-// due returns the outcome that this instance is to write now. The others wait for those before them, by hash.
-func (r *Register) due(s *service, now time.Time) (outcome, bool) {
-	state, due := s.order.PendingState(now)
-	if !due {
+// dueUpdate returns the state that this instance has to write now. It returns false if none is
+// pending, or if it is not yet this instance's turn; see rank.
+func (r *Controller) dueUpdate(s *service, now time.Time) (stateUpdate, bool) {
+	state, pending := s.order.PendingState(now)
+	if !pending {
 		s.writeAt = time.Time{}
-		return outcome{}, false
+		return stateUpdate{}, false
 	}
 	if s.writeAt.IsZero() {
-		s.writeAt = now.Add(time.Duration(r.rank(s)) * writeStep)
+		s.writeAt = now.Add(time.Duration(r.rank(s)) * writeStagger)
 	}
 	if now.Before(s.writeAt) {
-		return outcome{}, false
+		return stateUpdate{}, false
 	}
-	s.writeAt = now.Add(writeAgain + time.Duration(r.rank(s))*writeStep)
-	return outcome{s.name, s.order.Order(), state, s.given, s.revision}, true
+	s.writeAt = now.Add(writeRetryPause + time.Duration(r.rank(s))*writeStagger)
+	return stateUpdate{s.name, s.order.Order(), state, s.given, s.revision}, true
 }
 
-// rank returns how many instances write before this one.
-func (r *Register) rank(s *service) int {
+// rank returns how many instances write before this one, at most maxWriteRank. The order is by a
+// hash of the order and the instance.
+func (r *Controller) rank(s *service) int {
 	o := s.order.Order()
 	own := rendezvous.Weight(o.ID(), r.Self)
 	before := 0
@@ -133,32 +138,33 @@
 			before++
 		}
 	}
-	return min(before, writeRanks)
+	return min(before, maxWriteRank)
 }
 
-// write writes an outcome if the order is as this instance knows it. What another one wrote is learned from the store.
-func (r *Register) write(ctx context.Context, w outcome) {
+// writeState writes a state to the store, unless the order's object has another revision there. If
+// another instance wrote the state, this one learns of it when it reads the orders.
+func (r *Controller) writeState(ctx context.Context, u stateUpdate) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	log := r.Log.WithFields(logrus.Fields{"service": w.service, "target": w.order.Target, "state": w.state.String(), "revision": w.revision})
-	status, err := platform.EncodeRolloutStatus(&w.order, w.state, w.given)
+	log := r.Log.WithFields(logrus.Fields{"service": u.service, "target": u.order.Target, "state": u.state.String(), "revision": u.revision})
+	status, err := platform.EncodeRolloutStatus(&u.order, u.state, u.given)
 	if err != nil {
-		log.WithError(err).Error("outcome of a rollout can't be encoded")
+		log.WithError(err).Error("can't encode the state of a rollout")
 		return
 	}
-	o, err := r.Store.ReplaceStatus(ctx, platform.KindRollout, w.service, status, w.revision)
+	o, err := r.Store.ReplaceStatus(ctx, platform.KindRollout, u.service, status, u.revision)
 	if err != nil {
-		log.WithError(err).Warn("outcome of a rollout not written yet")
+		log.WithError(err).Warn("can't write the state of a rollout yet")
 		return
 	}
-	log.Info("outcome of a rollout written")
+	log.Info("state of a rollout written")
 	written, err := platform.DecodeRollout(o)
 	if err != nil {
-		log.WithError(err).Warn("the store's answer names no rollout")
+		log.WithError(err).Warn("can't decode the rollout that the store returned")
 		return
 	}
 	r.mu.Lock()
-	s := r.services[w.service]
+	s := r.services[u.service]
 	if s != nil && s.order != nil && o.Revision >= s.revision && s.order.Order() == written.Order {
 		s.revision = o.Revision
 		s.order.SetState(written.State)
@@ -167,17 +173,18 @@
 	r.Relist()
 }
 
-// Reports returns what this instance has to tell of orders in progress.
-func (r *Register) Reports() []rollout.Report {
+// Reports returns this instance's own reports of the orders in progress.
+func (r *Controller) Reports() []rollout.Report {
 	return r.reports((*rollout.Rollout).Report)
 }
 
-// Summaries returns what this instance and those that report to it have to tell.
-func (r *Register) Summaries() []rollout.Report {
+// Summaries returns reports of the orders in progress that cover this instance and all that report
+// to it.
+func (r *Controller) Summaries() []rollout.Report {
 	return r.reports((*rollout.Rollout).Summary)
 }
 
-func (r *Register) reports(of func(*rollout.Rollout, time.Time) rollout.Report) []rollout.Report {
+func (r *Controller) reports(report func(*rollout.Rollout, time.Time) rollout.Report) []rollout.Report {
 	if !r.active.Load() {
 		return nil
 	}
@@ -186,14 +193,15 @@
 	var out []rollout.Report
 	for _, s := range r.services {
 		if s.running() {
-			out = append(out, of(s.order, r.now()))
+			out = append(out, report(s.order, r.now()))
 		}
 	}
 	return out
 }
 
-// Apply takes what another instance, or a data centre, told.
-func (r *Register) Apply(from rollout.Source, reports []rollout.Report) {
+// Apply takes the reports of another instance, or the summaries of a data centre. Reports about
+// services without an order in progress are ignored.
+func (r *Controller) Apply(from rollout.Source, reports []rollout.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -205,7 +213,7 @@
 		before, _ := s.order.Decision()
 		s.order.Apply(now, from, &reports[i])
 		if after, _ := s.order.Decision(); after != before {
-			r.notify()
+			r.wakeRun()
 		}
 	}
 }
