--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -218,8 +218,8 @@
 	loss := req.loss(e)
 	loss.SentAt, loss.Reused = time.Now(), conn.Reused()
 	trial := f.Rollouts.Begin(req.route.Name, e)
-	trial.Left(true)
-	defer trial.Left(false)
+	trial.SetUndrained(true)
+	defer trial.SetUndrained(false)
 	f.Placement.Sent(e.ID, routing.Placed{})
 	defer f.Placement.Finished(e.ID, routing.Placed{})
 	x, err := conn.Do(ctx, req.upstreamRequest(&platform.EndpointRequest{
--- a/gateway/forward/rollouts.go
+++ b/gateway/forward/rollouts.go
@@ -73,7 +73,7 @@
 	case 1:
 		a.firstEventAt = now
 	case gapSampleEvents + 1:
-		a.rolloutTrial.Gap(now.Sub(a.firstEventAt) / gapSampleEvents)
+		a.rolloutTrial.EventGap(now.Sub(a.firstEventAt) / gapSampleEvents)
 	}
 }
 
@@ -104,7 +104,7 @@
 			copied = false
 		}
 	}
-	a.rolloutTrial.Left(a.hasEvent && !copied)
+	a.rolloutTrial.SetUndrained(a.hasEvent && !copied)
 	if s.f.Rollouts.RolledBack(&a.endpoint) && copied && a.hasEvent {
 		s.f.Log.Decision(s.req.ID, "build rolled back", logrus.Fields{"attempt": a.number, "endpoint": a.endpoint.ID, "events": s.relayedEvents})
 		a.ended = true
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -369,7 +369,7 @@
 	s.f.removeSession(s)
 	s.endCrashTrial()
 	for _, a := range s.attempts {
-		a.rolloutTrial.Left(false)
+		a.rolloutTrial.SetUndrained(false)
 		a.cancel()
 	}
 	s.releaseCopyLater()
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -66,7 +66,7 @@
 	exchange      *exchange.Exchange
 	crashes       *crashes.Registry
 	// rollouts and orders are nil where services are not moved to other builds.
-	rollouts *rollouts.Register
+	rollouts *rollouts.Controller
 	orders   *follow.Rollouts
 	mirror   *follow.Mirror
 	relay    *relay.Relay
@@ -197,7 +197,7 @@
 	})
 	f.relay = relay.New(relay.Options{
 		Settings: f.sourceSettings(), Store: f.store, Mirror: f.mirror, Others: f.exchange.Others,
-		Pool: peers.NewPool("", s.Streams.Connect, f.env.Network), Changed: func() { f.exchange.Changed() }, Clock: f.env.Clock, Log: t.Log,
+		Pool: peers.NewPool("", s.Streams.Connect, f.env.Network), AccessChanged: func() { f.exchange.Changed() }, Clock: f.env.Clock, Log: t.Log,
 	})
 	f.forwarder = forward.New(forward.Options{
 		Settings: forward.Settings{
@@ -207,7 +207,7 @@
 			Disabled: without(&s.Mechanisms),
 		},
 		Configuration: f.configuration, Synced: f.known, Placement: f.placement, Pool: f.pool, Peers: f.others(), Crashes: f.held(), Rollouts: f.forwardRollouts(), Clock: f.env.Clock,
-		OnEndpointReplaced: f.endpoints.Ended, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
+		OnEndpointReplaced: f.endpoints.MarkEnded, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
 	})
 }
 
@@ -305,7 +305,7 @@
 		all = f.rollouts.Usable(all)
 	}
 	f.placement.SetEndpoints(all)
-	if table != nil && len(all) > 0 && (f.rollouts == nil || f.rollouts.Known()) {
+	if table != nil && len(all) > 0 && (f.rollouts == nil || f.rollouts.OrdersRead()) {
 		f.knownOnce.Do(func() {
 			close(f.known)
 			f.forwarder.MarkSynced()
