--- a/cli/bench/bench.go
+++ b/cli/bench/bench.go
@@ -164,7 +164,7 @@
 	return err
 }
 
-func (r *run) teamKey() string { return pipeline.KeyPrefix + r.profile.Team + "_" + teamSecret }
+func (r *run) teamKey() string { return pipeline.TeamKeyPrefix + r.profile.Team + "_" + teamSecret }
 
 func (r *run) configure(ctx context.Context) error {
 	p := &r.profile
--- a/cli/caller/caller.go
+++ b/cli/caller/caller.go
@@ -205,13 +205,13 @@
 	h.Set("Content-Type", "application/json")
 	h.Set(pipeline.HeaderDeadline, strconv.FormatInt((g.r.Deadline-time.Since(g.began)).Milliseconds(), 10))
 	if g.r.IdempotencyKey != "" {
-		h.Set(pipeline.HeaderKey, g.r.IdempotencyKey)
+		h.Set(pipeline.HeaderIdempotencyKey, g.r.IdempotencyKey)
 	}
 	switch {
 	case g.r.NoCursor:
 		g.restart()
 	case g.cursor != "":
-		h.Set(pipeline.HeaderLastEvent, g.cursor)
+		h.Set(pipeline.HeaderLastEventID, g.cursor)
 	}
 	silence := time.AfterFunc(g.c.opt.Silence, cancel)
 	defer silence.Stop()
--- a/cli/caller/plain.go
+++ b/cli/caller/plain.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	resp, err := c.send(ctx, r.Method, "http://"+address+"/v1/services/"+r.Service+r.Path, r.Body, map[string]string{
-		pipeline.HeaderTicket: r.Ticket, pipeline.HeaderKey: r.IdempotencyKey,
+		pipeline.HeaderTicket: r.Ticket, pipeline.HeaderIdempotencyKey: r.IdempotencyKey,
 		pipeline.HeaderDeadline: strconv.FormatInt(r.Deadline.Milliseconds(), 10),
 	})
 	if err != nil {
--- a/cli/command/operate.go
+++ b/cli/command/operate.go
@@ -238,7 +238,7 @@
 // teamKey makes a key. Only its hash is given to the system.
 func teamKey() *cobra.Command {
 	return &cobra.Command{Use: "key NAME", Short: "Makes a new key for a team, and shows it with its hash", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		key := pipeline.KeyPrefix + args[0] + "_" + strings.ReplaceAll(uuid.NewString()+uuid.NewString(), "-", "")
+		key := pipeline.TeamKeyPrefix + args[0] + "_" + strings.ReplaceAll(uuid.NewString()+uuid.NewString(), "-", "")
 		_, err := fmt.Fprintf(cmd.OutOrStdout(), "key=%s\nsha256=%s\n", key, hashKey(key))
 		return err
 	}}
--- a/cli/demo/demo.go
+++ b/cli/demo/demo.go
@@ -66,7 +66,7 @@
 
 // Run does it all and prints one line at the end.
 func Run(ctx context.Context, cfg Config) error {
-	d := &demo{Config: cfg, key: pipeline.KeyPrefix + "almaty-desk_" + uuid.NewString(), work: load.NewWork(cfg.Engines)}
+	d := &demo{Config: cfg, key: pipeline.TeamKeyPrefix + "almaty-desk_" + uuid.NewString(), work: load.NewWork(cfg.Engines)}
 	d.tally.Resume = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	if err := d.setup(ctx); err != nil {
 		return err
--- a/cli/e2e/once_test.go
+++ b/cli/e2e/once_test.go
@@ -126,7 +126,7 @@
 		w.services[0].SetFault(plain.Fault{})
 		_, err = w.only(0).Plain(w.ctx(), get)
 		assert.NilError(t, err)
-		assert.Equal(t, w.gateways[0].Pipeline.Open(), int64(0))
+		assert.Equal(t, w.gateways[0].Pipeline.OpenRequests(), int64(0))
 	})
 }
 
--- a/cli/e2e/recovery_test.go
+++ b/cli/e2e/recovery_test.go
@@ -160,7 +160,7 @@
 // killServingGateway kills the instance that has a request in progress.
 func (w *world) killServingGateway() {
 	for i, g := range w.gateways {
-		if g.Pipeline.Open() > 0 {
+		if g.Pipeline.OpenRequests() > 0 {
 			w.killGateway(i)
 			return
 		}
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -166,7 +166,7 @@
 }
 
 func (d *Daemon) figures() fleet.Figures {
-	return fleet.Figures{Open: uint32(d.Pipeline.Open()), Configuration: d.Config.Digest(), Usage: d.Pipeline.Usage()}
+	return fleet.Figures{Open: uint32(d.Pipeline.OpenRequests()), Configuration: d.Config.Digest(), Usage: d.Pipeline.Usage()}
 }
 
 func (d *Daemon) lists() *peering.Lists {
@@ -339,7 +339,7 @@
 	drain, cancel := context.WithTimeout(ctx, d.settings.Callers.Drain)
 	defer cancel()
 	if err := d.servers[0].Shutdown(drain); err != nil {
-		log.WithField("open", d.Pipeline.Open()).Error("requests were still in progress when the time to drain was over")
+		log.WithField("open", d.Pipeline.OpenRequests()).Error("requests were still in progress when the time to drain was over")
 	}
 	d.Tickets.HandOver(ctx)
 	log.Info("drained")
--- a/gateway/pipeline/admit.go
+++ b/gateway/pipeline/admit.go
@@ -15,18 +15,19 @@
 	"github.com/agateway/agateway/gateway/once"
 )
 
-// Headers of callers.
+// Headers of the callers' API.
 const (
-	HeaderDeadline  = "Agateway-Deadline-Ms"
-	HeaderTicket    = "Agateway-Ticket"
-	HeaderKey       = "Idempotency-Key"
-	HeaderLastEvent = "Last-Event-ID"
-	HeaderRan       = "Agateway-Ran"
+	HeaderDeadline       = "Agateway-Deadline-Ms"
+	HeaderTicket         = "Agateway-Ticket"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderLastEventID    = "Last-Event-ID"
+	HeaderRan            = "Agateway-Ran"
 )
 
-const mostKeyLength = 255
+// maxKeyLength bounds an idempotency key, in bytes.
+const maxKeyLength = 255
 
-// admit reads the request, finds its deployment, and fixes its deadline.
+// admit reads the request, finds its deployment and sets its deadline.
 type admit struct{ *Deps }
 
 func (*admit) Name() string { return "admit" }
@@ -35,17 +36,17 @@
 	if a.draining.Load() {
 		return apierr.New(apierr.Draining, "this instance is shutting down; ask /v1/entry for another").WithRetry(time.Second)
 	}
-	body, err := a.body(x)
+	body, err := a.readBody(x)
 	if err != nil {
 		return err
 	}
-	if len(x.Key) > mostKeyLength {
-		return apierr.New(apierr.InvalidRequest, "at most %d characters", mostKeyLength).WithField(HeaderKey)
+	if len(x.IdempotencyKey) > maxKeyLength {
+		return apierr.New(apierr.InvalidRequest, "at most %d characters", maxKeyLength).WithField(HeaderIdempotencyKey)
 	}
 	if x.Form == Plain {
-		err = a.plain(x, body)
+		err = a.admitCall(x, body)
 	} else {
-		err = a.generation(x, body)
+		err = a.admitGeneration(x, body)
 	}
 	if err != nil {
 		return err
@@ -57,10 +58,11 @@
 	if x.Form != Plain && x.Generation.Stream {
 		x.events = newEventStream(a.Deps, x)
 	}
-	return a.deadline(x)
+	return a.setDeadline(x)
 }
 
-func (a *admit) body(x *Exchange) ([]byte, error) {
+// readBody reads the whole body. A body above the configured limit is refused.
+func (a *admit) readBody(x *Exchange) ([]byte, error) {
 	limit := int64(a.Settings.Callers.BodyLimit)
 	body, err := io.ReadAll(http.MaxBytesReader(x.W, x.R.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -73,7 +75,8 @@
 	return body, nil
 }
 
-func (a *admit) generation(x *Exchange, body []byte) error {
+// admitGeneration parses a request for a generation and finds its deployment.
+func (a *admit) admitGeneration(x *Exchange, body []byte) error {
 	g, err := parseGeneration(x.Form, body)
 	if err != nil {
 		return err
@@ -86,31 +89,32 @@
 		return apierr.New(apierr.NotFound, "%q has no adapter %q", g.Model, g.Adapter).WithField("model")
 	}
 	x.Deployment, x.Generation = d, g
-	return a.lastEvent(x)
+	return a.decodeCursor(x)
 }
 
-// lastEvent reads the cursor of a caller that goes on with a generation.
-func (a *admit) lastEvent(x *Exchange) error {
-	text := x.lastEvent
+// decodeCursor decodes and checks the cursor of a caller that resumes a generation. It does nothing
+// if the caller sent none.
+func (a *admit) decodeCursor(x *Exchange) error {
+	text := x.lastEventID
 	if text == "" {
 		return nil
 	}
-	bad := func(why string) error {
-		return apierr.New(apierr.BadCursor, "%s", why).WithField(HeaderLastEvent)
+	badCursor := func(why string) error {
+		return apierr.New(apierr.BadCursor, "%s", why).WithField(HeaderLastEventID)
 	}
 	if !x.Generation.Stream {
-		return bad("only a streaming request can be gone on with")
+		return badCursor("only a streaming request can be gone on with")
 	}
 	c, err := cursor.Decode([]byte(a.Settings.Keys.Cursor), text)
 	switch {
 	case errors.Is(err, cursor.ErrSignature):
-		return bad("the cursor was not made by this system, or was changed")
+		return badCursor("the cursor was not made by this system, or was changed")
 	case err != nil:
-		return bad("this is no cursor")
+		return badCursor("this is no cursor")
 	case c.Team != x.Team.Name || c.Deployment != x.Deployment.Name:
-		return bad("the cursor belongs to another request")
+		return badCursor("the cursor belongs to another request")
 	case c.Request != x.Generation.hash:
-		return bad("the body differs from the one that the cursor was made for")
+		return badCursor("the body differs from the one that the cursor was made for")
 	}
 	if n := len(x.Generation.Prefix); n > 0 && (n != c.Index || generation.HashTokens(x.Generation.Prefix) != c.Hash) {
 		return apierr.New(apierr.InvalidRequest, "are not the tokens that the cursor stands for").WithField("agateway_prefix")
@@ -119,8 +123,8 @@
 	return nil
 }
 
-// plain reads a call of the form /v1/services/{service}/...
-func (a *admit) plain(x *Exchange, body []byte) error {
+// admitCall parses a call to /v1/services/{service}/... and finds its deployment.
+func (a *admit) admitCall(x *Exchange, body []byte) error {
 	rest, ok := strings.CutPrefix(x.R.URL.EscapedPath(), "/v1/services/")
 	if !ok {
 		return apierr.New(apierr.NotFound, "no such path")
@@ -142,15 +146,15 @@
 	return nil
 }
 
-// The last part of a request's time is kept for the answer to reach the caller: a tenth,
-// and at the most answerMost.
+// The last part of a request's time is reserved for the answer to reach the caller: the time
+// divided by responseReserveDivisor, but at most maxResponseReserve.
 const (
-	answerShare = 10
-	answerMost  = 50 * time.Millisecond
+	responseReserveDivisor = 10
+	maxResponseReserve     = 50 * time.Millisecond
 )
 
-// deadline fixes when the request has to be answered, on the monotonic clock.
-func (a *admit) deadline(x *Exchange) error {
+// setDeadline sets the time by which the request has to be answered. It is on the monotonic clock.
+func (a *admit) setDeadline(x *Exchange) error {
 	d := x.Deployment.Deadline
 	if text := x.R.Header.Get(HeaderDeadline); text != "" {
 		ms, err := strconv.Atoi(text)
@@ -159,7 +163,7 @@
 		}
 		d = min(time.Duration(ms)*time.Millisecond, a.Settings.Callers.DeadlineMost)
 	}
-	x.Deadline = x.Received.Add(d - min(d/answerShare, answerMost))
+	x.Deadline = x.Received.Add(d - min(d/responseReserveDivisor, maxResponseReserve))
 	if x.Call != nil {
 		x.Call.Deadline = x.Deadline
 	}
--- a/gateway/pipeline/authenticate.go
+++ b/gateway/pipeline/authenticate.go
@@ -10,11 +10,11 @@
 	"github.com/agateway/agateway/gateway/config"
 )
 
-// KeyPrefix begins every team key: "agw_<team>_<secret>".
-const KeyPrefix = "agw_"
+// TeamKeyPrefix is the prefix of every team key. A key has the form "agw_<team>_<secret>".
+const TeamKeyPrefix = "agw_"
 
-// authenticate finds the team by its key. The key names the team, so that one hash is
-// compared with that team's few, in constant time; only hashes are stored.
+// authenticate finds the team by its key. The key contains the name of the team, so only the few
+// hashes of that team are compared, in constant time. Keys are stored only as hashes.
 type authenticate struct{ *Deps }
 
 func (*authenticate) Name() string { return "authenticate" }
@@ -28,14 +28,15 @@
 	return nil
 }
 
-// Authenticate returns the team that an Authorization header belongs to.
+// Authenticate returns the team whose key an Authorization header holds. Any error is an
+// [apierr.Error] with the code Unauthenticated.
 func Authenticate(c *config.Config, header string) (*config.Team, error) {
 	key, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok {
 		return nil, apierr.New(apierr.Unauthenticated, "a team key is required (Authorization: Bearer)").WithField("Authorization")
 	}
 	denied := apierr.New(apierr.Unauthenticated, "the key is not valid").WithField("Authorization")
-	rest, ok := strings.CutPrefix(key, KeyPrefix)
+	rest, ok := strings.CutPrefix(key, TeamKeyPrefix)
 	if !ok {
 		return nil, denied
 	}
--- a/gateway/pipeline/claim.go
+++ b/gateway/pipeline/claim.go
@@ -14,16 +14,16 @@
 	"github.com/agateway/agateway/gateway/once"
 )
 
-// claim settles who runs the request: a new generation, one taken over from an instance
-// that is gone, or a plain call that may run at most once.
+// claim decides how the request is run: as a new generation, as one taken over from an instance
+// that is gone, or as a plain call that may run at most once.
 type claim struct{ *Deps }
 
 func (*claim) Name() string { return "claim" }
 
 func (c *claim) Serve(ctx context.Context, x *Exchange) error {
-	x.settled = true
+	x.claimReached = true
 	if x.Form == Plain {
-		c.plain(x)
+		c.claimCall(x)
 		return nil
 	}
 	x.entry = directory.Entry{
@@ -31,28 +31,32 @@
 		Model: x.Deployment.Model, Version: x.Deployment.ModelVersion,
 	}
 	if x.cursor != nil {
-		return c.fromCursor(ctx, x)
+		return c.resumeFromCursor(ctx, x)
 	}
-	if x.Key == "" {
+	if x.IdempotencyKey == "" {
 		x.entry.Key = generationKey(x.Team.Name, x.entry.Generation)
 		return nil
 	}
-	return c.fromKey(ctx, x)
+	return c.claimByKey(ctx, x)
 }
 
-// The directory's keys of callers and of generations without one must not meet.
+// callerKey returns the directory key of a request with an idempotency key. Its prefix differs from
+// that of generationKey, so that callers' keys and generation ids can't collide.
 func callerKey(team, key string) directory.Key { return directory.Key{Team: team, ID: "k/" + key} }
 
+// generationKey returns the directory key of a generation without an idempotency key.
 func generationKey(team, generation string) directory.Key {
 	return directory.Key{Team: team, ID: "g/" + generation}
 }
 
-// cursorGap lifts a cursor's attempt above those that its instance may have used since.
-const cursorGap = 1000
+// cursorAttemptGap is added to the attempt number in a cursor. The instance that made the cursor
+// may have used higher numbers since, and the new attempt has to be above them.
+const cursorAttemptGap = 1000
 
-// fromCursor goes on with the generation that the caller's cursor names. The directory
-// may know a newer place for it, when an engine died after the cursor was made.
-func (c *claim) fromCursor(ctx context.Context, x *Exchange) error {
+// resumeFromCursor continues the generation that the caller's cursor identifies. If the directory
+// has an entry for it, the attempt and the stream of that entry are used in place of the cursor's:
+// they are newer if an engine died after the cursor was made.
+func (c *claim) resumeFromCursor(ctx context.Context, x *Exchange) error {
 	cur := x.cursor
 	if cur.Model != x.Deployment.Model {
 		return apierr.New(apierr.CannotContinue, "the deployment has another model now").WithRan(apierr.DidRun)
@@ -60,11 +64,11 @@
 	c.metrics.takeovers.Inc(1)
 	x.entry.Generation, x.entry.Version = cur.Generation, cur.Version
 	x.entry.Key = generationKey(x.Team.Name, cur.Generation)
-	if x.Key != "" {
-		x.entry.Key = callerKey(x.Team.Name, x.Key)
+	if x.IdempotencyKey != "" {
+		x.entry.Key = callerKey(x.Team.Name, x.IdempotencyKey)
 	}
 	x.origin = generation.Origin{
-		Attempt: cur.Attempt + cursorGap - 1, Stream: generation.Stream{Endpoint: cur.Endpoint, ID: cur.Stream},
+		Attempt: cur.Attempt + cursorAttemptGap - 1, Stream: generation.Stream{Endpoint: cur.Endpoint, ID: cur.Stream},
 		Delivered: cur.Index, DeliveredHash: cur.Hash, Prefix: x.Generation.Prefix,
 	}
 	if e, ok := c.Running.TakeOver(ctx, x.entry.Key, x.entry.Request); ok {
@@ -74,19 +78,20 @@
 	return nil
 }
 
-// fromKey registers the caller's key, or takes over the generation that runs under it.
-func (c *claim) fromKey(ctx context.Context, x *Exchange) error {
-	x.entry.Key = callerKey(x.Team.Name, x.Key)
+// claimByKey registers the caller's idempotency key, or takes over the generation that is running
+// under it.
+func (c *claim) claimByKey(ctx context.Context, x *Exchange) error {
+	x.entry.Key = callerKey(x.Team.Name, x.IdempotencyKey)
 	answer, held := c.Running.Register(ctx, x.entry)
 	switch answer {
 	case directory.Granted:
 		return nil
 	case directory.Mismatch:
-		return apierr.New(apierr.KeyMismatch, "the key was used for another request").WithField(HeaderKey)
+		return apierr.New(apierr.KeyMismatch, "the key was used for another request").WithField(HeaderIdempotencyKey)
 	}
 	e, ok := c.Running.TakeOver(ctx, x.entry.Key, x.entry.Request)
 	if !ok {
-		return apierr.New(apierr.InProgress, "a request with this key was just begun").WithField(HeaderKey).WithRetry(time.Second)
+		return apierr.New(apierr.InProgress, "a request with this key was just begun").WithField(HeaderIdempotencyKey).WithRetry(time.Second)
 	}
 	c.metrics.takeovers.Inc(1)
 	x.entry.Generation, x.entry.Version = held.Generation, e.Version
@@ -96,26 +101,27 @@
 	return nil
 }
 
-// plain chooses how a call runs at most once.
-func (c *claim) plain(x *Exchange) {
+// claimCall chooses how a plain call runs at most once: by its ticket, or by a claim on its
+// idempotency key. A call without either, or an idempotent one without a ticket, needs neither.
+func (c *claim) claimCall(x *Exchange) {
 	switch {
 	case x.Ticket != "":
 		x.runOnce = func(ctx context.Context) (ticket.Outcome, error) {
 			return c.Tickets.Run(ctx, x.Ticket, x.Call)
 		}
-	case x.Key != "" && !x.Deployment.Idempotent(x.Call.Method):
+	case x.IdempotencyKey != "" && !x.Deployment.Idempotent(x.Call.Method):
 		x.runOnce = func(ctx context.Context) (ticket.Outcome, error) {
-			return c.Claims.Do(ctx, x.Key, x.Call)
+			return c.Claims.Do(ctx, x.IdempotencyKey, x.Call)
 		}
 	}
 }
 
-// onceErrors turns errors of the layer below into those of callers.
+// onceErrors maps the error types of package once to errors for callers.
 var onceErrors = []struct {
-	below *errorx.Type
-	code  apierr.Code
-	ran   apierr.Ran
-	retry time.Duration
+	errorType  *errorx.Type
+	code       apierr.Code
+	ran        apierr.Ran
+	retryAfter time.Duration
 }{
 	{once.ErrUnknown, apierr.OutcomeUnknown, apierr.Unknown, 0},
 	{once.ErrExpired, apierr.OutcomeUnknown, apierr.Unknown, 0},
@@ -126,18 +132,18 @@
 	{once.ErrBadTicket, apierr.BadTicket, apierr.NotRun, 0},
 }
 
-// OnceError turns an error of package once into a caller's.
+// OnceError converts an error of package once to an [apierr.Error].
 func OnceError(err error) error {
 	for _, e := range onceErrors {
-		if errorx.IsOfType(err, e.below) {
-			out := apierr.New(e.code, "%s", errorx.Cast(err).Message()).WithRan(e.ran).WithRetry(e.retry)
+		if errorx.IsOfType(err, e.errorType) {
+			out := apierr.New(e.code, "%s", errorx.Cast(err).Message()).WithRan(e.ran).WithRetry(e.retryAfter)
 			return out
 		}
 	}
 	return apierr.From(err)
 }
 
-// outcomeResponse is a kept outcome as a response.
+// outcomeResponse returns a stored outcome as a response.
 func outcomeResponse(o ticket.Outcome) *plainResponse {
 	return &plainResponse{status: o.Status, contentType: o.ContentType, body: o.Body}
 }
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -16,39 +16,43 @@
 	"github.com/agateway/agateway/gateway/once"
 )
 
-// identity names a generation, so that it is known when it comes again.
+// identity returns the identity of a generation, by which its retries are recognized. It does not
+// depend on how the answer is delivered.
 func (x *Exchange) identity() crashers.Request {
-	same := *x.Generation
-	same.Prefix, same.Stream, same.IncludeUsage = nil, false, false
-	return crashers.Request{Team: x.Team.Name, Content: crashers.HashContent(same.encoded(x.Form))}
+	normalized := *x.Generation
+	normalized.Prefix, normalized.Stream, normalized.IncludeUsage = nil, false, false
+	return crashers.Request{Team: x.Team.Name, Content: crashers.HashContent(normalized.encoded(x.Form))}
 }
 
-// identityOf names a call, so that it is known when it comes again.
-func identityOf(c *once.Call) crashers.Request {
+// callIdentity returns the identity of a plain call, by which its retries are recognized.
+func callIdentity(c *once.Call) crashers.Request {
 	return crashers.Request{Team: c.Team, Content: crashers.HashContent([]byte(c.Deployment), []byte(c.Method), []byte(c.Path), c.Body)}
 }
 
-// stopped returns the error for a request that ends the endpoints that run it; nil for others.
-func (d *Deps) stopped(req crashers.Request, service string) error {
+// checkStopped returns an error if the request is stopped because it crashes the endpoints that run
+// it.
+func (d *Deps) checkStopped(req crashers.Request, service string) error {
 	if v, left := d.Crashes.Verdict(req, service); v == crashers.Stopped {
-		return errStopped(left)
+		return stoppedError(left)
 	}
 	return nil
 }
 
-func errStopped(left time.Duration) error {
+// stoppedError returns the error for a stopped request. left is how long it is still stopped.
+func stoppedError(left time.Duration) error {
 	return apierr.New(apierr.Unavailable, "the request ends the endpoints that run it").WithRetry(left)
 }
 
-// mayStart tells whether the session may try its request at another engine, and how to choose it; if not, the machine was told.
-func (s *session) mayStart(attempt int) (weights routing.Weights, ok bool) {
+// admitAttempt tells whether the request may be sent to another engine, and returns the weights to
+// choose the engine with. If it may not, the failure has been reported to the machine.
+func (s *session) admitAttempt(attempt int) (weights routing.Weights, ok bool) {
 	a := s.Crashes.Admit(s.request, s.routing.Service, s)
 	switch {
 	case a.Verdict == crashers.Stopped:
-		s.failed(attempt, generation.Stopped, a.Remaining)
+		s.reportFailure(attempt, generation.Stopped, a.Remaining)
 		return routing.Weights{}, false
 	case a.Busy:
-		s.failed(attempt, generation.NoEndpoint, 0)
+		s.reportFailure(attempt, generation.NoEndpoint, 0)
 		return routing.Weights{}, false
 	case a.Verdict == crashers.Careful:
 		return carefulWeights(), true
@@ -56,11 +60,14 @@
 	return s.routing.Weights, true
 }
 
-// carefulWeights ranks engines for a request that may end them: those with few others lose least.
+// carefulWeights returns the weights for a request that may crash its engine. The engine with the
+// least load is preferred, so that a crash takes down as few other requests as possible.
 func carefulWeights() routing.Weights { return routing.Weights{Load: 1} }
 
-// blame holds the end of an engine against the request that it lost, if that is the reason.
-func (s *session) blame(ctx context.Context, e *routing.Endpoint, sentAt time.Time, at *attempt, err error) {
+// attributeCrash reports that the connection to an engine broke, so that a crash of the engine can
+// be attributed to the request. It does nothing for other errors, or if this instance closed the
+// stream itself.
+func (s *session) attributeCrash(ctx context.Context, e *routing.Endpoint, sentAt time.Time, at *attempt, err error) {
 	if !errorx.IsOfType(err, endpoint.ErrBroken) {
 		return
 	}
@@ -69,18 +76,19 @@
 		Request: s.request, ID: s.x.entry.Generation, Endpoint: incarnation(e), Service: e.Service,
 		SentAt: sentAt, HeadAt: at.ackedAt, FirstEventAt: at.tokenAt, Async: s.machine.Journal().Len() > 0,
 	}
-	ours := s.closed || at.dropped
+	closedByUs := s.closed || at.cancelled
 	s.mu.Unlock()
-	if !ours {
-		s.judge.Attribute(ctx, &s.losses, l)
+	if !closedByUs {
+		s.attributor.Attribute(ctx, &s.losses, l)
 	}
 }
 
-// incarnation names an engine as it runs now: one that starts again listens elsewhere.
+// incarnation identifies one run of an engine: an engine that restarts has another address.
 func incarnation(e *routing.Endpoint) string { return e.ID + "@" + e.Address }
 
-// find returns what is known of an engine by the name of its incarnation.
-func (d *Deps) find(name string) (routing.Endpoint, bool) {
+// findIncarnation returns the engine with the given incarnation; false if it is not listed any
+// more.
+func (d *Deps) findIncarnation(name string) (routing.Endpoint, bool) {
 	for _, s := range d.Backends.List() {
 		if incarnation(&s.Endpoint) == name {
 			return s.Endpoint, true
@@ -89,9 +97,10 @@
 	return routing.Endpoint{}, false
 }
 
-// hasEnded tells whether the process of an engine is gone that was not told to leave: its machine refuses connections.
-func (d *Deps) hasEnded(name string) bool {
-	e, ok := d.find(name)
+// hasCrashed tells whether the process of an engine is gone although it was not told to leave. That
+// is so if its machine answers but nothing listens at the engine's address.
+func (d *Deps) hasCrashed(name string) bool {
+	e, ok := d.findIncarnation(name)
 	if !ok || e.State == routing.Leaving {
 		return false
 	}
@@ -101,80 +110,85 @@
 	return errorx.IsOfType(err, endpoint.ErrGone)
 }
 
+// nearby implements [crashes.Attributor.Nearby].
 func (d *Deps) nearby(name string, from, to time.Time) (failed, all int) {
-	e, ok := d.find(name)
+	e, ok := d.findIncarnation(name)
 	if !ok {
 		return 0, 0
 	}
 	return d.Backends.Nearby(e.ID, from, to)
 }
 
-// progressed clears the request of a generation that has run for a while, and ends its trial.
-func (s *session) progressed() {
+// clearOnProgress clears the request of a generation that has run for [crashes.ProgressAfter], and
+// ends its trial.
+func (s *session) clearOnProgress() {
 	s.Crashes.Progressed(s.request)
 	s.Crashes.Tried(s.request, s)
 }
 
-// served clears the request of a generation that ran, and ends its trial.
-func (s *session) served() {
+// recordServed clears the request of a generation that was completed, and ends its trial.
+func (s *session) recordServed() {
 	s.Crashes.Served(s.request)
 	s.Crashes.Tried(s.request, s)
 }
 
-// callTrial keeps whether a plain call ends the endpoints that run it.
+// callTrial tracks whether a plain call crashes the endpoints that run it.
 type callTrial struct {
 	*Deps
-	// request names the call. It reads all of its body, so it is called only where something is known of any request, or an
-	// endpoint was lost.
+	// request returns the identity of the call. It hashes the whole body, so it is only called if
+	// any request is recorded or the call lost an endpoint.
 	request func() crashers.Request
 	service string
 	losses  crashes.Losses
-	careful bool // it is tried, since endpoints ended under it
+	careful bool // the call holds the trial of its request, since endpoints crashed while they had it
 }
 
 func newCallTrial(d *Deps, c *once.Call, service string) *callTrial {
-	return &callTrial{Deps: d, service: service, request: sync.OnceValue(func() crashers.Request { return identityOf(c) })}
+	return &callTrial{Deps: d, service: service, request: sync.OnceValue(func() crashers.Request { return callIdentity(c) })}
 }
 
-// begin returns why the call may not be sent to another endpoint; nil when it may.
-func (t *callTrial) begin() error {
+// admit returns an error if the call may not be sent to another endpoint.
+func (t *callTrial) admit() error {
 	if !t.Crashes.HasRecords() {
 		return nil
 	}
 	a := t.Crashes.Admit(t.request(), t.service, t)
 	switch {
 	case a.Verdict == crashers.Stopped:
-		return t.ran(errStopped(a.Remaining))
+		return t.markMayHaveRun(stoppedError(a.Remaining))
 	case a.Busy:
-		return t.ran(apierr.New(apierr.Unavailable, "the request is being tried, since endpoints ended under it").WithRetry(time.Second))
+		return t.markMayHaveRun(apierr.New(apierr.Unavailable, "the request is being tried, since endpoints ended under it").WithRetry(time.Second))
 	}
 	t.careful = a.Verdict == crashers.Careful
 	return nil
 }
 
-// ran says of an error that the call may have run, where an endpoint was lost with it.
-func (t *callTrial) ran(err error) error {
+// markMayHaveRun sets in an error that the call may have run, if it lost an endpoint before.
+func (t *callTrial) markMayHaveRun(err error) error {
 	if !t.losses.Any() {
 		return err
 	}
 	return apierr.From(err).WithRan(apierr.Unknown)
 }
 
-// lost holds the end of an endpoint against the call that it lost, if that is the reason.
-func (t *callTrial) lost(ctx context.Context, e *routing.Endpoint, sentAt time.Time, err error) {
+// recordLoss reports a failed attempt, so that a crash of the endpoint can be attributed to the
+// call, and ends the trial. It attributes only broken connections, and none if ctx has ended.
+func (t *callTrial) recordLoss(ctx context.Context, e *routing.Endpoint, sentAt time.Time, err error) {
 	if errorx.IsOfType(err, endpoint.ErrBroken) && ctx.Err() == nil {
-		t.judge.Attribute(ctx, &t.losses, crashes.Loss{Request: t.request(), Endpoint: incarnation(e), Service: e.Service, SentAt: sentAt})
+		t.attributor.Attribute(ctx, &t.losses, crashes.Loss{Request: t.request(), Endpoint: incarnation(e), Service: e.Service, SentAt: sentAt})
 	}
-	t.end()
+	t.release()
 }
 
-func (t *callTrial) served() {
+// recordServed clears the request of a call that was answered.
+func (t *callTrial) recordServed() {
 	if t.Crashes.HasRecords() {
 		t.Crashes.Served(t.request())
 	}
 }
 
-func (t *callTrial) end() {
+// release ends the trial of the request, if the call holds it.
+func (t *callTrial) release() {
 	if t.careful {
 		t.careful = false
 		t.Crashes.Tried(t.request(), t)
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -20,13 +20,13 @@
 	"github.com/agateway/agateway/gateway/settings"
 )
 
-// Deps is what the filters need.
+// Deps holds what the filters depend on.
 type Deps struct {
 	Settings *settings.Settings
 	Config   *config.Config
 	Backends *backends.Backends
 	Client   *endpoint.Client
-	// Crashes is what is known of requests that end endpoints.
+	// Crashes holds what is known of requests that crash the endpoints that run them.
 	Crashes *crashes.Registry
 	Fleet   *fleet.Fleet
 	Running *running.Running
@@ -36,15 +36,16 @@
 	Scope   tally.Scope
 	Log     *logrus.Entry
 
-	open     atomic.Int64
-	draining atomic.Bool
-	recovery generation.Config
-	retries  retryBudget
-	metrics  *metrics
-	judge    crashes.Attributor
-	usage    func() map[string]limits.Usage
+	openRequests atomic.Int64
+	draining     atomic.Bool
+	recovery     generation.Config
+	retries      retryBudget
+	metrics      *metrics
+	attributor   crashes.Attributor
+	usage        func() map[string]limits.Usage
 }
 
+// prepare sets the fields that are derived from the exported ones.
 func (d *Deps) prepare() {
 	r := &d.Settings.Recovery
 	d.recovery = generation.Config{
@@ -55,59 +56,61 @@
 	e := &d.Settings.Endpoints
 	d.retries.budget = limits.NewRetryBudget(e.RetryShare, e.RetryReserve)
 	d.metrics = newMetrics(d.Scope)
-	d.judge.Record, d.judge.HasCrashed, d.judge.Nearby = d.Crashes.Ended, d.hasEnded, d.nearby
+	d.attributor.Record, d.attributor.HasCrashed, d.attributor.Nearby = d.Crashes.Ended, d.hasCrashed, d.nearby
 }
 
-// retryBudget is a budget shared by all requests of the instance.
+// retryBudget is the retry budget that all requests of the instance share. It is safe for
+// concurrent use.
 type retryBudget struct {
 	mu     sync.Mutex
 	budget *limits.RetryBudget
 }
 
-func (b *retryBudget) request() {
+func (b *retryBudget) recordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.RecordRequest()
 }
 
-func (b *retryBudget) retry() bool {
+func (b *retryBudget) tryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.TryRetry()
 }
 
-// metrics are the counters of the hot path, made once.
+// metrics holds the counters and timers of the hot path, which are created once.
 type metrics struct {
-	scope                                         tally.Scope
-	tokens, recoveriesSame, recoveriesElsewhere   tally.Counter
-	restarts, silences, probes, probesDead        tally.Counter
-	staleTokens, repeatedTokens, gaps, falseAlarm tally.Counter
-	prefilledAgain, thrownAway, takeovers         tally.Counter
-	firstToken, resume                            tally.Timer
+	scope                                              tally.Scope
+	tokens, resumesSameStream, resumesElsewhere        tally.Counter
+	restarts, silences, probes, probesDead             tally.Counter
+	staleTokens, repeatedTokens, gaps, falseSuspicions tally.Counter
+	prefilledAgain, discardedTokens, takeovers         tally.Counter
+	firstToken, resume                                 tally.Timer
 }
 
 func newMetrics(s tally.Scope) *metrics {
 	return &metrics{
 		scope: s, tokens: s.Counter("tokens_relayed"),
-		recoveriesSame: s.Counter("resumes_same_stream"), recoveriesElsewhere: s.Counter("resumes_elsewhere"),
+		resumesSameStream: s.Counter("resumes_same_stream"), resumesElsewhere: s.Counter("resumes_elsewhere"),
 		restarts: s.Counter("restarts"), silences: s.Counter("silences"), probes: s.Counter("probes"), probesDead: s.Counter("probes_dead"),
-		staleTokens: s.Counter("stale_tokens"), repeatedTokens: s.Counter("repeated_tokens"), gaps: s.Counter("token_gaps"), falseAlarm: s.Counter("false_suspicions"),
-		prefilledAgain: s.Counter("tokens_prefilled_again"), thrownAway: s.Counter("tokens_thrown_away"), takeovers: s.Counter("takeovers"),
+		staleTokens: s.Counter("stale_tokens"), repeatedTokens: s.Counter("repeated_tokens"), gaps: s.Counter("token_gaps"), falseSuspicions: s.Counter("false_suspicions"),
+		prefilledAgain: s.Counter("tokens_prefilled_again"), discardedTokens: s.Counter("tokens_thrown_away"), takeovers: s.Counter("takeovers"),
 		firstToken: s.Timer("first_token"), resume: s.Timer("resume"),
 	}
 }
 
-func (m *metrics) generation(st generation.Stats) {
-	m.recoveriesSame.Inc(int64(st.ResumesSameStream))
-	m.recoveriesElsewhere.Inc(int64(st.ResumesElsewhere))
-	m.restarts.Inc(int64(st.Restarts))
-	m.silences.Inc(int64(st.Silences))
-	m.probes.Inc(int64(st.Probes))
-	m.probesDead.Inc(int64(st.ProbesDead))
-	m.staleTokens.Inc(int64(st.StaleTokens))
-	m.repeatedTokens.Inc(int64(st.RepeatedTokens))
-	m.gaps.Inc(int64(st.Gaps))
-	m.falseAlarm.Inc(int64(st.FalseSuspicions))
-	m.prefilledAgain.Inc(int64(st.PrefilledAgain))
-	m.thrownAway.Inc(int64(st.DiscardedTokens))
+// recordGeneration adds the counters of one generation.
+func (m *metrics) recordGeneration(stats generation.Stats) {
+	m.resumesSameStream.Inc(int64(stats.ResumesSameStream))
+	m.resumesElsewhere.Inc(int64(stats.ResumesElsewhere))
+	m.restarts.Inc(int64(stats.Restarts))
+	m.silences.Inc(int64(stats.Silences))
+	m.probes.Inc(int64(stats.Probes))
+	m.probesDead.Inc(int64(stats.ProbesDead))
+	m.staleTokens.Inc(int64(stats.StaleTokens))
+	m.repeatedTokens.Inc(int64(stats.RepeatedTokens))
+	m.gaps.Inc(int64(stats.Gaps))
+	m.falseSuspicions.Inc(int64(stats.FalseSuspicions))
+	m.prefilledAgain.Inc(int64(stats.PrefilledAgain))
+	m.discardedTokens.Inc(int64(stats.DiscardedTokens))
 }
--- a/gateway/pipeline/dispatch.go
+++ b/gateway/pipeline/dispatch.go
@@ -17,8 +17,8 @@
 	"github.com/agateway/agateway/gateway/once"
 )
 
-// dispatch sends the request to an endpoint. A generation's first attempt is started; a
-// plain call is made, and made again only where it certainly did not run or may run twice.
+// dispatch sends the request to an endpoint. For a generation it starts the first attempt. A plain
+// call is retried only if it certainly did not run or is idempotent.
 type dispatch struct{ *Deps }
 
 func (*dispatch) Name() string { return "dispatch" }
@@ -36,10 +36,11 @@
 		x.response = outcomeResponse(o)
 		return nil
 	}
-	return d.direct(ctx, x)
+	return d.streamCall(ctx, x)
 }
 
-// plainResponse is a plain service's answer: a body that is still to be read, or whole.
+// plainResponse is the answer of a plain service. If stream is nil the body is complete, otherwise
+// it is still to be read from stream.
 type plainResponse struct {
 	status      int
 	contentType string
@@ -49,48 +50,51 @@
 }
 
 const (
-	// plainTries bounds the tries of one call.
-	plainTries = 4
-	// plainTry is how long an endpoint may take for a call that may run twice, while
-	// another try is left.
-	plainTry = time.Second
-	// mostOutcome bounds a response that is read whole, in bytes.
-	mostOutcome = 1 << 20
+	// maxPlainAttempts bounds the attempts of one call.
+	maxPlainAttempts = 4
+	// plainAttemptTimeout is how long an endpoint may take to begin its answer to an idempotent
+	// call, as long as another attempt is left.
+	plainAttemptTimeout = time.Second
+	// maxOutcomeBytes bounds the part that is read of the answer to a call that runs at most once.
+	// The rest is cut off.
+	maxOutcomeBytes = 1 << 20
 )
 
-// direct makes a call and leaves its body to be streamed.
-func (d *dispatch) direct(ctx context.Context, x *Exchange) error {
+// streamCall makes a call and sets the response, whose body is still to be read.
+func (d *dispatch) streamCall(ctx context.Context, x *Exchange) error {
 	ctx, cancel := context.WithDeadline(ctx, x.Deadline)
-	x.atEnd(cancel)
-	resp, done, err := d.call(ctx, x.Deployment, x.Call)
+	x.addCleanup(cancel)
+	resp, done, err := d.callWithRetries(ctx, x.Deployment, x.Call)
 	if err != nil {
 		return err
 	}
-	x.atEnd(done)
+	x.addCleanup(done)
 	x.response = &plainResponse{status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), header: resp.Header, stream: resp.Body}
 	return nil
 }
 
-// RunCall makes a call that may run at most once and reads its answer whole.
+// RunCall makes a call that may run at most once, and reads its answer into the result.
 func (p *Pipeline) RunCall(ctx context.Context, c *once.Call) once.Result {
 	d := &dispatch{p.deps}
 	dep, ok := d.Config.Deployment(c.Deployment)
 	if !ok {
 		return once.Result{Ended: once.NotRun, Detail: "there is no such service any more"}
 	}
-	resp, done, err := d.call(ctx, dep, c)
+	resp, done, err := d.callWithRetries(ctx, dep, c)
 	if err != nil {
-		return failedRun(err)
+		return failedResult(err)
 	}
 	defer done()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostOutcome))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOutcomeBytes))
 	if err != nil {
 		return once.Result{Ended: once.Unknown, Detail: "the endpoint's answer broke off"}
 	}
 	return once.Result{Ended: once.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
 }
 
-func failedRun(err error) once.Result {
+// failedResult returns the result for a call that failed. Its outcome is unknown unless the error
+// says that the call did not run.
+func failedResult(err error) once.Result {
 	e := apierr.From(err)
 	r := once.Result{Ended: once.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
 	if e.Ran == apierr.NotRun {
@@ -99,16 +103,16 @@
 	return r
 }
 
-// call makes a call, on another endpoint where that is allowed. done has to be called
-// when the answer was read.
-func (d *dispatch) call(ctx context.Context, dep *config.Deployment, c *once.Call) (*http.Response, func(), error) {
-	req := d.request(dep, nil)
+// callWithRetries makes a call, and retries it at other endpoints if that is allowed. The caller
+// calls the returned function when it has read the answer.
+func (d *dispatch) callWithRetries(ctx context.Context, dep *config.Deployment, c *once.Call) (*http.Response, func(), error) {
+	req := d.routingRequest(dep, nil)
 	idempotent := dep.Idempotent(c.Method)
 	t := newCallTrial(d.Deps, c, dep.Service)
-	defer t.end()
+	defer t.release()
 	until := time.Now().Add(min(dep.QueueWait, time.Until(c.Deadline)))
-	for try := 1; ; try++ {
-		if err := t.begin(); err != nil {
+	for attempt := 1; ; attempt++ {
+		if err := t.admit(); err != nil {
 			return nil, nil, err
 		}
 		e, err := d.pick(ctx, &req, until)
@@ -116,32 +120,33 @@
 			return nil, nil, err
 		}
 		sentAt := time.Now()
-		resp, done, err := d.try(ctx, &e, c, idempotent && try < plainTries)
+		resp, done, err := d.callEndpoint(ctx, &e, c, idempotent && attempt < maxPlainAttempts)
 		if err == nil {
-			t.served()
+			t.recordServed()
 			return resp, done, nil
 		}
-		t.lost(ctx, &e, sentAt, err)
-		callErr, again := judgePlain(err, idempotent)
-		if !again || try == plainTries || ctx.Err() != nil || !d.retries.retry() {
+		t.recordLoss(ctx, &e, sentAt, err)
+		callErr, mayRetry := classifyPlainError(err, idempotent)
+		if !mayRetry || attempt == maxPlainAttempts || ctx.Err() != nil || !d.retries.tryRetry() {
 			return nil, nil, callErr
 		}
 		req.Avoid = append(req.Avoid, e.ID)
 	}
 }
 
-// try makes a call at one endpoint. With limited set the endpoint's answer has to begin
-// soon, since another may be tried.
-func (d *dispatch) try(ctx context.Context, e *routing.Endpoint, c *once.Call, limited bool) (*http.Response, func(), error) {
+// callEndpoint makes a call at one endpoint. If mayRetry is set, the answer has to begin within
+// plainAttemptTimeout, since another endpoint can be tried. The caller calls the returned function
+// when it has read the answer.
+func (d *dispatch) callEndpoint(ctx context.Context, e *routing.Endpoint, c *once.Call, mayRetry bool) (*http.Response, func(), error) {
 	ctx, span := d.Tracer.Start(ctx, "endpoint")
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
-	timer := time.AfterFunc(plainTry, cancel)
-	if !limited {
+	timer := time.AfterFunc(plainAttemptTimeout, cancel)
+	if !mayRetry {
 		timer.Stop()
 	}
 	resp, err := d.Client.Do(ctx, e.Address, &endpoint.Call{
-		ID: uuid.NewString(), Method: c.Method, Path: c.Path, ContentType: c.ContentType, Body: c.Body, Idempotent: limited,
+		ID: uuid.NewString(), Method: c.Method, Path: c.Path, ContentType: c.ContentType, Body: c.Body, Idempotent: mayRetry,
 	})
 	timer.Stop()
 	if err != nil {
@@ -159,11 +164,11 @@
 	}, nil
 }
 
-// judgePlain turns a failed call into the caller's error, and tells whether another try
-// is allowed.
-func judgePlain(err error, idempotent bool) (error, bool) {
+// classifyPlainError converts the error of a failed call to an error for the caller, and tells
+// whether the call may be retried.
+func classifyPlainError(err error, idempotent bool) (error, bool) {
 	if errorx.IsOfType(err, endpoint.ErrRefused) {
-		return apierr.New(apierr.Unavailable, "no endpoint took the request").WithRetry(atLeast(endpoint.RetryAfter(err))), true
+		return apierr.New(apierr.Unavailable, "no endpoint took the request").WithRetry(clampRetryAfter(endpoint.RetryAfter(err))), true
 	}
 	ran := apierr.Unknown
 	e := apierr.New(apierr.OutcomeUnknown, "the endpoint's answer was lost").WithRan(ran)
@@ -173,7 +178,7 @@
 	return e, idempotent
 }
 
-// leastRetry is the least time after which a caller is told to come back.
-const leastRetry = 250 * time.Millisecond
+// minRetryAfter is the shortest time to retry that a caller is told when an endpoint refused.
+const minRetryAfter = 250 * time.Millisecond
 
-func atLeast(d time.Duration) time.Duration { return max(d, leastRetry) }
+func clampRetryAfter(d time.Duration) time.Duration { return max(d, minRetryAfter) }
--- a/gateway/pipeline/finish.go
+++ b/gateway/pipeline/finish.go
@@ -10,7 +10,7 @@
 	"github.com/agateway/agateway/gateway/apierr"
 )
 
-// finish answers what was not answered and counts the outcome.
+// finish sends the error if the request failed, and counts the outcome.
 type finish struct {
 	*Deps
 	mu       sync.Mutex
@@ -18,7 +18,7 @@
 	latency  tally.Timer
 }
 
-// outcome labels the counter of ended requests.
+// outcome holds the labels of the counter of finished requests.
 type outcome struct {
 	deployment string
 	code       apierr.Code
@@ -33,18 +33,19 @@
 	if err != nil {
 		e := apierr.From(err)
 		code = e.Code
-		if e.Ran == apierr.NotRun && !x.settled && x.repeatable() {
-			e.Ran = apierr.Unknown // this ask did not run it; an earlier one may have
+		if e.Ran == apierr.NotRun && !x.claimReached && x.mayBeRetry() {
+			e.Ran = apierr.Unknown // this request did not run, but an earlier one like it may have
 		}
-		f.refuse(x, e)
+		f.writeError(x, e)
 	}
 	f.latency.Record(time.Since(x.Received))
-	f.count(x, code).Inc(1)
+	f.counter(x, code).Inc(1)
 }
 
-// refuse sends the error: as the response, or into a stream that has begun.
-func (f *finish) refuse(x *Exchange, e *apierr.Error) {
-	if !x.answered {
+// writeError sends the error as the response, or as an event if the response has been started as a
+// stream.
+func (f *finish) writeError(x *Exchange, e *apierr.Error) {
+	if !x.responseStarted {
 		x.W.Header().Set(HeaderRan, string(e.Ran))
 		e.Write(x.W)
 		return
@@ -54,11 +55,12 @@
 		defer x.session.mu.Unlock()
 	}
 	if x.events != nil {
-		x.events.fail(time.Now(), e.Marshal())
+		x.events.writeError(time.Now(), e.Marshal())
 	}
 }
 
-func (f *finish) count(x *Exchange, code apierr.Code) tally.Counter {
+// counter returns the counter for a deployment and code, which is created on first use.
+func (f *finish) counter(x *Exchange, code apierr.Code) tally.Counter {
 	o := outcome{code: code}
 	if x.Deployment != nil {
 		o.deployment = x.Deployment.Name
--- a/gateway/pipeline/limit.go
+++ b/gateway/pipeline/limit.go
@@ -10,34 +10,35 @@
 	"github.com/agateway/agateway/gateway/apierr"
 )
 
-// limit holds teams to their share and services to what their endpoints carry. Work that
-// can't be served within its contract is refused on arrival.
+// limit bounds the requests of each team to its quota, and those to each service to what its
+// endpoints can take. A request that is not expected to get a slot in time is refused on arrival.
 type limit struct {
 	*Deps
 	mu     sync.Mutex
 	teams  map[string]*limits.Team
-	queues map[string]*queue // by service: deployments that share endpoints share a queue
-	nextID uint64
+	queues map[string]*serviceQueue // by service, since deployments may share endpoints
+	lastID uint64
 }
 
-// queue is a service's queue with those that wait.
-type queue struct {
+// serviceQueue is the queue of a service. waiting holds, by id, a channel for each waiting request,
+// which is closed when the request gets a slot.
+type serviceQueue struct {
 	limits.Queue
 	refreshed time.Time
 	waiting   map[uint64]chan struct{}
 }
 
-// capacityEvery is how often a queue's capacity is worked out anew.
-const capacityEvery = 100 * time.Millisecond
+// capacityInterval is how often the capacity of a queue is updated.
+const capacityInterval = 100 * time.Millisecond
 
-// Keys of shared limits in heartbeats.
+// Prefixes of the names under which heartbeats report the usage of limits.
 const (
-	teamUsage    = "t/"
-	serviceUsage = "s/"
+	teamUsagePrefix    = "t/"
+	serviceUsagePrefix = "s/"
 )
 
 func newLimit(d *Deps) *limit {
-	l := &limit{Deps: d, teams: map[string]*limits.Team{}, queues: map[string]*queue{}}
+	l := &limit{Deps: d, teams: map[string]*limits.Team{}, queues: map[string]*serviceQueue{}}
 	d.usage = l.usage
 	return l
 }
@@ -45,15 +46,16 @@
 func (*limit) Name() string { return "limit" }
 
 func (l *limit) Serve(ctx context.Context, x *Exchange) error {
-	if err := l.team(x); err != nil {
+	if err := l.acquireTeam(x); err != nil {
 		return err
 	}
-	return l.place(ctx, x)
+	return l.acquireSlot(ctx, x)
 }
 
-// team takes one request of the team's limits.
-func (l *limit) team(x *Exchange) error {
-	fleet := l.Fleet.Usage(teamUsage + x.Team.Name)
+// acquireTeam counts the request against the team's limits, and releases it at the end of the
+// exchange.
+func (l *limit) acquireTeam(x *Exchange) error {
+	fleet := l.Fleet.Usage(teamUsagePrefix + x.Team.Name)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.teams[x.Team.Name]
@@ -68,7 +70,7 @@
 		l.metrics.scope.Tagged(map[string]string{"reason": string(refusal.Reason)}).Counter("refused").Inc(1)
 		return apierr.New(apierr.TeamLimit, "the team's limit is reached (%s)", refusal.Reason).WithRetry(refusal.RetryAfter)
 	}
-	x.atEnd(func() {
+	x.addCleanup(func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		t.Release()
@@ -76,19 +78,19 @@
 	return nil
 }
 
-// place takes a place in the queue of the deployment's service, waiting where the contract
-// allows.
-func (l *limit) place(ctx context.Context, x *Exchange) error {
-	class, budget := x.Class, min(x.Deployment.QueueWait, time.Until(x.Deadline))
+// acquireSlot takes a slot of the deployment's service. If none is free it waits, at most for the
+// deployment's queue time and until the deadline.
+func (l *limit) acquireSlot(ctx context.Context, x *Exchange) error {
+	class, maxWait := x.Class, min(x.Deployment.QueueWait, time.Until(x.Deadline))
 	if x.cursor != nil {
-		class = limits.Recovery // work that was lost once goes before new work
+		class = limits.Recovery // work that was lost once is admitted before new work
 	}
 	l.mu.Lock()
-	q := l.queue(x.Deployment.Service)
-	q.HintServiceTime(likelyTime(x))
-	l.nextID++
-	id := l.nextID
-	verdict, wait := q.Offer(id, class, budget)
+	q := l.queueFor(x.Deployment.Service)
+	q.HintServiceTime(estimateServiceTime(x))
+	l.lastID++
+	id := l.lastID
+	verdict, wait := q.Offer(id, class, maxWait)
 	var granted chan struct{}
 	if verdict == limits.Waiting {
 		granted = make(chan struct{})
@@ -99,38 +101,40 @@
 	case limits.Refused:
 		return l.overloaded(wait)
 	case limits.Waiting:
-		if err := l.wait(ctx, x, q, id, granted, budget); err != nil {
+		if err := l.waitForSlot(ctx, x, q, id, granted, maxWait); err != nil {
 			return err
 		}
 	}
-	l.hold(x, q)
+	l.releaseSlotAtEnd(x, q)
 	return nil
 }
 
-// typicalGap is the time between two tokens that a first estimate goes by; likelyCall is
-// that for a plain call.
+// Assumptions for the estimate of service times before any request has finished:
+// assumedTokenInterval is the time between two tokens, and assumedCallTime that of a plain call.
 const (
-	typicalGap = 30 * time.Millisecond
-	likelyCall = 50 * time.Millisecond
+	assumedTokenInterval = 30 * time.Millisecond
+	assumedCallTime      = 50 * time.Millisecond
 )
 
-// likelyTime is how long a request may hold its place, before any has ended.
-func likelyTime(x *Exchange) time.Duration {
+// estimateServiceTime estimates how long a request occupies its slot. The estimate is used until
+// the first request has finished.
+func estimateServiceTime(x *Exchange) time.Duration {
 	if x.Generation == nil {
-		return likelyCall
+		return assumedCallTime
 	}
-	return time.Duration(x.Generation.MaxTokens) * typicalGap
+	return time.Duration(x.Generation.MaxTokens) * assumedTokenInterval
 }
 
+// overloaded counts a refusal and returns its error; wait is the time to retry.
 func (l *limit) overloaded(wait time.Duration) error {
 	l.metrics.scope.Tagged(map[string]string{"reason": string(limits.ReasonOverload)}).Counter("refused").Inc(1)
 	return apierr.New(apierr.Overloaded, "the deployment has more work than it can do in time").WithRetry(wait)
 }
 
-// wait waits for a place. A caller that asked for a stream is told meanwhile that it is
-// waited, so that it can tell a queue from a dead instance.
-func (l *limit) wait(ctx context.Context, x *Exchange, q *queue, id uint64, granted chan struct{}, budget time.Duration) error {
-	timer := time.NewTimer(budget)
+// waitForSlot waits until the queue grants a slot, at most for maxWait. A caller that asked for a
+// stream gets keepalives meanwhile, so that it can tell a queue from a dead instance.
+func (l *limit) waitForSlot(ctx context.Context, x *Exchange, q *serviceQueue, id uint64, granted chan struct{}, maxWait time.Duration) error {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	tick := time.NewTicker(l.Settings.Callers.Keepalive)
 	defer tick.Stop()
@@ -140,7 +144,7 @@
 			return nil
 		case now := <-tick.C:
 			if x.events != nil {
-				x.events.idle(now, l.Settings.Callers.Keepalive)
+				x.events.keepalive(now, l.Settings.Callers.Keepalive)
 			}
 		case <-timer.C:
 			waiting = false
@@ -153,7 +157,7 @@
 	delete(q.waiting, id)
 	l.mu.Unlock()
 	if !withdrawn {
-		return nil // granted in the same moment
+		return nil // it was granted at the same time
 	}
 	if ctx.Err() != nil {
 		return apierr.New(apierr.DeadlineExceeded, "the caller went away")
@@ -161,17 +165,18 @@
 	return l.overloaded(time.Second)
 }
 
-// hold gives the place back at the end.
-func (l *limit) hold(x *Exchange, q *queue) {
-	x.admitted = time.Now()
-	x.atEnd(func() {
+// releaseSlotAtEnd releases the slot at the end of the exchange.
+func (l *limit) releaseSlotAtEnd(x *Exchange, q *serviceQueue) {
+	x.admittedAt = time.Now()
+	x.addCleanup(func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		q.grant(q.Finish(time.Since(x.admitted)))
+		q.grant(q.Finish(time.Since(x.admittedAt)))
 	})
 }
 
-func (q *queue) grant(ids []uint64) {
+// grant wakes the waiting requests that got a slot. The caller holds the lock.
+func (q *serviceQueue) grant(ids []uint64) {
 	for _, id := range ids {
 		if c := q.waiting[id]; c != nil {
 			close(c)
@@ -180,29 +185,30 @@
 	}
 }
 
-// queue returns a service's queue with its capacity up to date. The lock is held.
-func (l *limit) queue(service string) *queue {
+// queueFor returns the queue of a service with its capacity up to date. The caller holds the lock.
+func (l *limit) queueFor(service string) *serviceQueue {
 	q := l.queues[service]
 	if q == nil {
-		q = &queue{waiting: map[uint64]chan struct{}{}}
+		q = &serviceQueue{waiting: map[uint64]chan struct{}{}}
 		l.queues[service] = q
 	}
-	if now := time.Now(); now.Sub(q.refreshed) >= capacityEvery {
+	if now := time.Now(); now.Sub(q.refreshed) >= capacityInterval {
 		q.refreshed = now
 		q.grant(q.SetCapacity(l.capacity(service)))
 	}
 	return q
 }
 
-// capacity is what this instance may have in progress: the slots that the others are not
-// known to use, and never less than an equal share. Not more than the slots: work beyond
-// them would wait at an endpoint for a whole answer to end, after its own wait here.
+// capacity returns how many requests this instance may have in progress: the slots that the other
+// instances are not known to use, but at least an equal share. It never exceeds the number of
+// slots. Further work would wait at an endpoint until a whole answer ends, after it had already
+// waited here.
 func (l *limit) capacity(service string) int {
-	fleet := l.Fleet.Usage(serviceUsage + service)
+	fleet := l.Fleet.Usage(serviceUsagePrefix + service)
 	return int(math.Ceil(fleet.Allowed(float64(l.Backends.Slots(service)), float64(fleet.Others.Running))))
 }
 
-// usage returns what this instance uses of shared limits.
+// usage returns what this instance uses of the limits that instances share.
 func (l *limit) usage() map[string]limits.Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,14 +216,15 @@
 	out := make(map[string]limits.Usage, len(l.teams)+len(l.queues))
 	for name, t := range l.teams {
 		if t.ShouldReport(now) {
-			out[teamUsage+name] = t.Usage(now)
+			out[teamUsagePrefix+name] = t.Usage(now)
 		}
 	}
 	for name, q := range l.queues {
-		out[serviceUsage+name] = limits.Usage{Running: q.Running()}
+		out[serviceUsagePrefix+name] = limits.Usage{Running: q.Running()}
 	}
 	return out
 }
 
-// Usage returns what this instance uses of shared limits, for heartbeats.
+// Usage returns, by name, what this instance uses of the limits that instances share. Heartbeats
+// carry it to the other instances.
 func (p *Pipeline) Usage() map[string]limits.Usage { return p.deps.usage() }
--- a/gateway/pipeline/pipeline.go
+++ b/gateway/pipeline/pipeline.go
@@ -1,10 +1,12 @@
-// Package pipeline carries a caller's request through a row of filters:
+// Package pipeline serves a caller's request with a fixed sequence of filters:
 //
 //	authenticate → admit → limit → claim → route → dispatch → relay → finish
 //
-// Each filter does one step on the [Exchange] and has a span of its own. The first error
-// ends the row; finish always runs and answers what was not answered. What the filters
-// took is given back at the end, whatever happens. Errors of the layers below become [apierr.Error] where they are met.
+// Each filter performs one step on the [Exchange]. The first error skips the filters after it,
+// except finish. finish sends the error if there is one, and counts the outcome. Each of the other
+// filters has a span of its own. What the filters acquired is released at the end, also after an
+// error or a panic. Each filter turns the errors of lower layers into an [apierr.Error] where they
+// occur.
 package pipeline
 
 import (
@@ -27,17 +29,17 @@
 	"github.com/agateway/agateway/gateway/once"
 )
 
-// Form is the form in which a caller asked.
+// Form is the API that a request uses.
 type Form int
 
-// Forms of a request.
+// Forms of a request. Their values are part of hashes that instances compare.
 const (
 	Completion Form = iota
 	Chat
 	Plain
 )
 
-// Exchange is one request on its way through the filters.
+// Exchange is one request and its state while it passes through the filters.
 type Exchange struct {
 	W http.ResponseWriter
 	R *http.Request
@@ -50,73 +52,80 @@
 	Deployment *config.Deployment
 	Class      limits.Class
 
-	// Generation is set for completions, Call for plain services.
+	// Generation is set for completions and chat, and Call for plain services.
 	Generation *GenerationRequest
 	Call       *once.Call
-	// Key is the caller's Idempotency-Key, Ticket its ticket; empty for none.
-	Key, Ticket string
-	// lastEvent is the cursor as the caller sent it; empty for none.
-	lastEvent string
-
-	// origin says where a generation begins, and entry its place in the directory.
+	// IdempotencyKey is the caller's Idempotency-Key header, and Ticket its ticket; empty if not
+	// sent.
+	IdempotencyKey, Ticket string
+	// lastEventID is the encoded cursor from the caller's Last-Event-ID header; empty if not sent.
+	lastEventID string
+
+	// origin is the position from which a generation continues; the zero value starts a new one.
+	// cursor is the decoded cursor of the caller, nil without one. entry is the directory entry of
+	// the generation.
 	origin generation.Origin
 	cursor *cursor.Cursor
 	entry  directory.Entry
-	// runOnce runs a plain call at most once; nil where that is not asked for.
+	// runOnce runs a plain call at most once; nil if the call does not need that.
 	runOnce func(context.Context) (ticket.Outcome, error)
 
-	// events is the caller's stream, where it asked for one.
+	// events is the event stream to the caller; nil if it did not ask for one.
 	events   *eventStream
 	session  *session
 	response *plainResponse
 
-	settled  bool // it is known who runs the request
-	answered bool // the response has begun
-	// truncated is set when a response that has begun can't be completed.
-	truncated bool
-	cleanup   []func()
-	admitted  time.Time
+	claimReached    bool // the claim filter has been reached
+	responseStarted bool // the status line has been sent
+	// truncated is set if a response that has been started can't be completed.
+	truncated  bool
+	cleanup    []func()
+	admittedAt time.Time
 }
 
-// atEnd has f called when the exchange is over, last first.
-func (x *Exchange) atEnd(f func()) { x.cleanup = append(x.cleanup, f) }
+// addCleanup registers f to be called at the end of the exchange. The functions run in reverse
+// order.
+func (x *Exchange) addCleanup(f func()) { x.cleanup = append(x.cleanup, f) }
 
-// unread returns a channel that is closed when the caller can't be written to any more.
-func (x *Exchange) unread() <-chan struct{} {
+// writeFailed returns a channel that is closed when a write to the caller's event stream fails. It
+// is nil, and so never ready, if the caller did not ask for a stream.
+func (x *Exchange) writeFailed() <-chan struct{} {
 	if x.events == nil {
 		return nil
 	}
-	return x.events.lost
+	return x.events.writeFailed
 }
 
-// release gives back what was taken so far.
-func (x *Exchange) release() {
+// runCleanup runs the cleanup functions that were registered so far.
+func (x *Exchange) runCleanup() {
 	for i := len(x.cleanup) - 1; i >= 0; i-- {
 		x.cleanup[i]()
 	}
 	x.cleanup = nil
 }
 
-// repeatable tells whether the caller may have asked for the same before, so that a
-// refusal of this ask does not say that the request did not run.
-func (x *Exchange) repeatable() bool { return x.Key != "" || x.Ticket != "" || x.lastEvent != "" }
+// mayBeRetry tells whether the caller may have sent the same request before. If so, refusing this
+// one does not prove that the request did not run.
+func (x *Exchange) mayBeRetry() bool {
+	return x.IdempotencyKey != "" || x.Ticket != "" || x.lastEventID != ""
+}
 
-// Filter is one step.
+// Filter is one step of the pipeline.
 type Filter interface {
-	// Name is the filter's name in spans and metrics.
+	// Name returns the name of the filter's span.
 	Name() string
-	// Serve does the step; an error ends the row.
+	// Serve performs the step. An error skips the filters after it.
 	Serve(ctx context.Context, x *Exchange) error
 }
 
-// Pipeline is the row of filters. It is safe for concurrent use.
+// Pipeline is the sequence of filters. It is safe for concurrent use.
 type Pipeline struct {
 	deps    *Deps
 	filters []Filter
 	finish  *finish
 }
 
-// New returns the pipeline.
+// New returns a pipeline. It completes d, which must not be used for another pipeline.
 func New(d *Deps) *Pipeline {
 	d.prepare()
 	return &Pipeline{
@@ -128,31 +137,32 @@
 	}
 }
 
-// Serve carries a request through the filters.
+// Serve passes a request through the filters and sends the response. It panics with
+// [http.ErrAbortHandler] if it could not complete a response that it had started.
 func (p *Pipeline) Serve(w http.ResponseWriter, r *http.Request, form Form) {
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := p.deps.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
 	x := &Exchange{
 		W: w, R: r, Form: form, Received: time.Now(),
-		Key: r.Header.Get(HeaderKey), Ticket: r.Header.Get(HeaderTicket), lastEvent: r.Header.Get(HeaderLastEvent),
+		IdempotencyKey: r.Header.Get(HeaderIdempotencyKey), Ticket: r.Header.Get(HeaderTicket), lastEventID: r.Header.Get(HeaderLastEventID),
 	}
-	defer x.release()
-	p.deps.open.Add(1)
-	defer p.deps.open.Add(-1)
+	defer x.runCleanup()
+	p.deps.openRequests.Add(1)
+	defer p.deps.openRequests.Add(-1)
 	var err error
 	for _, f := range p.filters {
-		if err = p.step(ctx, f, x); err != nil {
+		if err = p.runFilter(ctx, f, x); err != nil {
 			break
 		}
 	}
 	p.finish.serve(ctx, x, err)
 	if x.truncated {
-		panic(http.ErrAbortHandler) // breaks the connection: it must not look complete
+		panic(http.ErrAbortHandler) // aborts the connection, so that the response does not look complete
 	}
 }
 
-func (p *Pipeline) step(ctx context.Context, f Filter, x *Exchange) error {
+func (p *Pipeline) runFilter(ctx context.Context, f Filter, x *Exchange) error {
 	ctx, span := p.deps.Tracer.Start(ctx, f.Name())
 	defer span.End()
 	err := f.Serve(ctx, x)
@@ -162,8 +172,8 @@
 	return err
 }
 
-// Open returns the requests in progress.
-func (p *Pipeline) Open() int64 { return p.deps.open.Load() }
+// OpenRequests returns the number of requests in progress.
+func (p *Pipeline) OpenRequests() int64 { return p.deps.openRequests.Load() }
 
-// Drain makes the pipeline refuse new requests.
+// Drain makes the pipeline refuse new requests. Requests in progress continue.
 func (p *Pipeline) Drain() { p.deps.draining.Store(true) }
--- a/gateway/pipeline/receiver.go
+++ b/gateway/pipeline/receiver.go
@@ -8,10 +8,11 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-// receiver hands a stream's events to the machine.
+// receiver passes the events of one attempt's stream to the session's machine. It implements
+// endpoint.Receiver.
 type receiver struct {
 	s        *session
-	number   int
+	attempt  int
 	endpoint string
 }
 
@@ -22,27 +23,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.attempts[r.number].acked, s.attempts[r.number].ackedAt = true, now
+	s.attempts[r.attempt].acked, s.attempts[r.attempt].ackedAt = true, now
 	if s.closed {
-		s.Backends.Cancel(r.endpoint, a.Stream, r.number)
+		s.Backends.Cancel(r.endpoint, a.Stream, r.attempt)
 		return
 	}
 	if !s.pinVersion(a) {
-		s.Backends.Cancel(r.endpoint, a.Stream, r.number)
-		s.machine.Failed(now, r.number, generation.Mismatch, 0)
-		s.settle(now)
+		s.Backends.Cancel(r.endpoint, a.Stream, r.attempt)
+		s.machine.Failed(now, r.attempt, generation.Mismatch, 0)
+		s.runActions(now)
 		return
 	}
-	s.machine.Acked(now, r.number, generation.Stream{Endpoint: r.endpoint, ID: a.Stream}, a.Index, uint64(a.Hash), a.Cached)
-	s.settle(now)
-	if number, _ := s.machine.Attempt(); number == r.number && !s.machine.Ended() {
-		s.sink.attempt(s.place())
+	s.machine.Acked(now, r.attempt, generation.Stream{Endpoint: r.endpoint, ID: a.Stream}, a.Index, uint64(a.Hash), a.Cached)
+	s.runActions(now)
+	if current, _ := s.machine.Attempt(); current == r.attempt && !s.machine.Ended() {
+		s.sink.setAttempt(s.directoryEntry())
 		s.announce()
 	}
 }
 
-// pinVersion fixes the model's version by the first acknowledgement, and tells whether a
-// later one is of the same: another version's tokens must not continue an answer.
+// pinVersion records the model version of the first acknowledgement. It returns false if a later
+// one has another version: tokens of that version must not continue the answer. An acknowledgement
+// without a version is accepted. The caller holds the lock.
 func (s *session) pinVersion(a *endpoint.Ack) bool {
 	if s.x.entry.Version == "" {
 		s.x.entry.Version = a.Version
@@ -50,7 +52,7 @@
 	return a.Version == "" || a.Version == s.x.entry.Version
 }
 
-// Token implements endpoint.Receiver. This is the hot path.
+// Token implements endpoint.Receiver. It is on the hot path.
 func (r *receiver) Token(index int, text []byte) {
 	s := r.s
 	s.mu.Lock()
@@ -59,40 +61,43 @@
 		return
 	}
 	now := time.Now()
-	accepted := s.machine.Token(now, r.number, index, text)
-	s.began(now, r.number)
+	accepted := s.machine.Token(now, r.attempt, index, text)
+	s.recordProgress(now, r.attempt)
 	if accepted {
-		s.count(now)
-		s.sink.token(now, index, text, s.machine.Journal().Hash())
-		s.machine.Alive(time.Now(), r.number) // a slow caller is not the engine's silence
+		s.recordToken(now)
+		s.sink.writeToken(now, index, text, s.machine.Journal().Hash())
+		s.machine.Alive(time.Now(), r.attempt) // the time that a slow caller took must not count as silence of the engine
 	}
-	s.settle(now)
+	s.runActions(now)
 }
 
-// began notes that an attempt makes tokens, and clears the request once it has done so for a while. The lock is held.
-func (s *session) began(now time.Time, number int) {
+// recordProgress records that an attempt produces tokens. Once it has done so for
+// [crashes.ProgressAfter], the request is cleared of the suspicion that it crashes engines. The
+// caller holds the lock.
+func (s *session) recordProgress(now time.Time, number int) {
 	at := s.attempts[number]
 	if at == nil {
-		return // it was given up
+		return // the attempt was not started by startAttempt
 	}
 	if at.tokenAt.IsZero() {
 		at.tokenAt = now
 	}
-	if !at.served && now.Sub(at.tokenAt) >= crashes.ProgressAfter {
-		at.served = true
-		s.progressed()
+	if !at.progressed && now.Sub(at.tokenAt) >= crashes.ProgressAfter {
+		at.progressed = true
+		s.clearOnProgress()
 	}
 }
 
-// count keeps the figures of a token that goes to the caller.
-func (s *session) count(now time.Time) {
+// recordToken updates the metrics for a token that is relayed to the caller. The caller holds the
+// lock.
+func (s *session) recordToken(now time.Time) {
 	s.metrics.tokens.Inc(1)
 	if s.lastToken.IsZero() {
 		s.metrics.firstToken.Record(now.Sub(s.x.Received))
 	}
-	if !s.lostAt.IsZero() {
-		s.metrics.resume.Record(now.Sub(s.lostAt))
-		s.lostAt = time.Time{}
+	if !s.streamLostAt.IsZero() {
+		s.metrics.resume.Record(now.Sub(s.streamLostAt))
+		s.streamLostAt = time.Time{}
 	}
 	s.lastToken = now
 }
@@ -103,8 +108,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.machine.Alive(now, r.number)
-	s.settle(now)
+	s.machine.Alive(now, r.attempt)
+	s.runActions(now)
 }
 
 // Ended implements endpoint.Receiver.
@@ -113,6 +118,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.machine.Done(now, r.number, e.Total, uint64(e.Hash), e.Reason)
-	s.settle(now)
+	s.machine.Done(now, r.attempt, e.Total, uint64(e.Hash), e.Reason)
+	s.runActions(now)
 }
--- a/gateway/pipeline/relay.go
+++ b/gateway/pipeline/relay.go
@@ -11,30 +11,31 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-// relay brings the answer to the caller.
+// relay sends the answer to the caller.
 type relay struct{ *Deps }
 
 func (*relay) Name() string { return "relay" }
 
 func (r *relay) Serve(ctx context.Context, x *Exchange) error {
 	if x.Form == Plain {
-		return r.plain(x)
+		return r.relayPlain(x)
 	}
-	return r.generation(ctx, x)
+	return r.relayGeneration(ctx, x)
 }
 
-// generation waits for the end, keeping an idle stream alive.
-func (r *relay) generation(ctx context.Context, x *Exchange) error {
+// relayGeneration waits until the generation ends or the caller is gone. It sends keepalives while
+// the stream is idle.
+func (r *relay) relayGeneration(ctx context.Context, x *Exchange) error {
 	s := x.session
 	tick := time.NewTicker(r.Settings.Callers.Keepalive)
 	defer tick.Stop()
 	for {
 		select {
 		case <-s.ended:
-			return s.answer()
+			return s.writeAnswer()
 		case now := <-tick.C:
 			s.keepalive(now, r.Settings.Callers.Keepalive)
-		case <-x.unread():
+		case <-x.writeFailed():
 			return r.callerGone(x)
 		case <-ctx.Done():
 			return r.callerGone(x)
@@ -42,17 +43,19 @@
 	}
 }
 
+// keepalive sends a comment if the stream has been idle for the given time.
 func (s *session) keepalive(now time.Time, after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.x.events; e != nil && !s.machine.Ended() {
-		e.idle(now, after)
+		e.keepalive(now, after)
 	}
 }
 
-// callerGone leaves the stream running for a while when the caller is able to come back
-// for it, here or at another instance; then it is cancelled, unless a higher attempt has
-// taken it over by then.
+// callerGone handles a caller that disconnected or stopped reading. A caller that asked for a
+// stream or sent an idempotency key can come back, here or at another instance, so its stream keeps
+// running for the configured grace. After that it is cancelled, which the engine ignores if a
+// higher attempt has taken the stream over.
 func (r *relay) callerGone(x *Exchange) error {
 	s := x.session
 	s.mu.Lock()
@@ -63,13 +66,13 @@
 		s.perform(a)
 	}
 	grace := r.Settings.Callers.Grace
-	if !x.Generation.Stream && x.Key == "" {
+	if !x.Generation.Stream && x.IdempotencyKey == "" {
 		grace = 0
 	}
 	s.keepEntry = grace > 0
 	number, stream := s.machine.Attempt()
 	for n, at := range s.attempts {
-		at.dropped = true
+		at.cancelled = true
 		if n != number || stream.ID == "" {
 			continue
 		}
@@ -78,32 +81,33 @@
 	return apierr.New(apierr.DeadlineExceeded, "the caller went away").WithRan(apierr.Unknown)
 }
 
-// failCodes turns the machine's codes into those of callers.
-var failCodes = map[generation.Code]apierr.Code{
+// apiCodes maps the codes of package generation to those of callers.
+var apiCodes = map[generation.Code]apierr.Code{
 	generation.CodeDeadline: apierr.DeadlineExceeded, generation.CodeNoEndpoint: apierr.Unavailable,
 	generation.CodeSuperseded: apierr.Superseded, generation.CodeCannotContinue: apierr.CannotContinue,
 	generation.CodeInvalid: apierr.InvalidRequest, generation.CodeAttemptsExhausted: apierr.Unavailable,
 	generation.CodeCanceled: apierr.DeadlineExceeded, generation.CodeStopped: apierr.Unavailable,
 }
 
-// answer sends what is left to send when the generation has ended.
-func (s *session) answer() error {
+// writeAnswer sends the rest of the answer after the generation has ended, or returns its failure.
+func (s *session) writeAnswer() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fail != nil {
-		return s.failure()
+		return s.apiError()
 	}
 	tokens, prompt := s.machine.Journal().Len(), endpoint.PromptTokens(s.x.Generation.Prompt)
 	if e := s.x.events; e != nil {
-		e.end(time.Now(), s.finish.Reason, tokens, prompt)
+		e.writeEnd(time.Now(), s.finish.Reason, tokens, prompt)
 		return nil
 	}
-	return writeWhole(s.x, s.machine.Journal().Text(), s.finish.Reason, tokens, prompt)
+	return writeFullResponse(s.x, s.machine.Journal().Text(), s.finish.Reason, tokens, prompt)
 }
 
-func (s *session) failure() error {
+// apiError converts the failure of the generation to an error for the caller.
+func (s *session) apiError() error {
 	f := s.fail
-	e := apierr.New(failCodes[f.Code], "%s", f.Detail).WithRetry(f.RetryAfter)
+	e := apierr.New(apiCodes[f.Code], "%s", f.Detail).WithRetry(f.RetryAfter)
 	if f.MayHaveRun {
 		e.Ran = apierr.DidRun
 	}
@@ -113,53 +117,55 @@
 	return e
 }
 
-// whole is an answer that is sent at once.
-type whole struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   usage         `json:"usage"`
+// fullResponse is the JSON body of an answer that is not streamed.
+type fullResponse struct {
+	ID      string       `json:"id"`
+	Object  string       `json:"object"`
+	Created int64        `json:"created"`
+	Model   string       `json:"model"`
+	Choices []fullChoice `json:"choices"`
+	Usage   usage        `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Text         *string       `json:"text,omitempty"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type fullChoice struct {
+	Index        int          `json:"index"`
+	Text         *string      `json:"text,omitempty"`
+	Message      *fullMessage `json:"message,omitempty"`
+	FinishReason string       `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type fullMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-func writeWhole(x *Exchange, text, reason string, tokens, prompt int) error {
-	a := whole{
+// writeFullResponse sends an answer that is not streamed. tokens and prompt are the numbers of
+// tokens of the answer and of the prompt.
+func writeFullResponse(x *Exchange, text, reason string, tokens, prompt int) error {
+	a := fullResponse{
 		ID: answerID(x), Object: "text_completion", Created: x.Received.Unix(), Model: modelName(x),
-		Choices: []wholeChoice{{FinishReason: reason, Text: &text}},
+		Choices: []fullChoice{{FinishReason: reason, Text: &text}},
 		Usage:   usage{Prompt: prompt, Completion: tokens, Total: prompt + tokens},
 	}
 	if x.Form == Chat {
 		a.Object = "chat.completion"
-		a.Choices = []wholeChoice{{FinishReason: reason, Message: &wholeMessage{Role: "assistant", Content: text}}}
+		a.Choices = []fullChoice{{FinishReason: reason, Message: &fullMessage{Role: "assistant", Content: text}}}
 	}
-	x.answered = true
+	x.responseStarted = true
 	x.W.Header().Set("Content-Type", "application/json")
 	x.W.Header().Set(HeaderRan, string(apierr.DidRun))
 	return json.NewEncoder(x.W).Encode(a)
 }
 
-// plain copies a plain service's answer.
-func (r *relay) plain(x *Exchange) error {
+// relayPlain copies the answer of a plain service to the caller.
+func (r *relay) relayPlain(x *Exchange) error {
 	p := x.response
 	h := x.W.Header()
 	if p.contentType != "" {
 		h.Set("Content-Type", p.contentType)
 	}
 	h.Set(HeaderRan, string(apierr.DidRun))
-	x.answered = true
+	x.responseStarted = true
 	x.W.WriteHeader(p.status)
 	if p.stream == nil {
 		_, err := x.W.Write(p.body)
--- a/gateway/pipeline/request.go
+++ b/gateway/pipeline/request.go
@@ -11,9 +11,10 @@
 	"github.com/agateway/agateway/gateway/apierr"
 )
 
-// GenerationRequest is a request for a generation, in one form for completions and chat.
+// GenerationRequest is a request for a generation. Completions and chat both have this form.
 type GenerationRequest struct {
-	// Model is the deployment's name, Adapter what follows a colon.
+	// Model is the name of the deployment, and Adapter the part of the requested model after a
+	// colon.
 	Model, Adapter string
 	Prompt         string
 	MaxTokens      int
@@ -24,19 +25,19 @@
 	Stream         bool
 	IncludeUsage   bool
 
-	// Prefix are the tokens that a caller with a cursor already holds; it may leave them out.
+	// Prefix holds the tokens that a caller with a cursor already has. The caller may omit them.
 	Prefix []string
 
-	hash uint64 // of all that the answer depends on
+	hash uint64 // the digest, which identifies the request in cursors and in the directory
 }
 
 const (
 	defaultMaxTokens = 256
-	mostTokens       = 1 << 17
-	mostStops        = 4
+	maxTokensLimit   = 1 << 17
+	maxStopSequences = 4
 )
 
-// completionsBody is a request in the form of the completions protocol.
+// completionsBody is the JSON body of a request in the completions protocol.
 type completionsBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -68,112 +69,119 @@
 	Content json.RawMessage `json:"content"`
 }
 
-func invalid(field, format string, args ...any) error {
+func invalidField(field, format string, args ...any) error {
 	return apierr.New(apierr.InvalidRequest, format, args...).WithField(field)
 }
 
+// parseGeneration parses and validates the body of a request. Its errors name the field that is
+// invalid.
 func parseGeneration(form Form, body []byte) (*GenerationRequest, error) {
 	var b completionsBody
 	if err := json.Unmarshal(body, &b); err != nil {
 		return nil, bodyError(err)
 	}
-	if err := b.supported(); err != nil {
+	if err := b.checkSupported(); err != nil {
 		return nil, err
 	}
 	g := &GenerationRequest{Seed: b.Seed, Temperature: 1, TopP: 1, Stream: b.Stream, MaxTokens: defaultMaxTokens, Prefix: b.Prefix}
 	g.Model, g.Adapter, _ = strings.Cut(b.Model, ":")
 	if g.Model == "" {
-		return nil, invalid("model", "is required")
+		return nil, invalidField("model", "is required")
 	}
 	g.IncludeUsage = b.StreamOptions != nil && b.StreamOptions.IncludeUsage
 	var err error
 	if form == Chat {
 		g.Prompt, err = renderMessages(b.Messages)
 	} else {
-		g.Prompt, err = onePrompt(b.Prompt)
+		g.Prompt, err = parsePrompt(b.Prompt)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := b.sampling(g); err != nil {
+	if err := b.parseSampling(g); err != nil {
 		return nil, err
 	}
 	g.hash = g.digest(form)
 	return g, nil
 }
 
-// digest hashes what the answer depends on: two requests with one digest are the same.
+// digest hashes what the answer depends on. Requests with equal digests are taken for the same
+// request.
 func (g *GenerationRequest) digest(form Form) uint64 {
-	same := *g
-	same.Prefix = nil
-	return xxhash.Sum64(same.encoded(form))
+	normalized := *g
+	normalized.Prefix = nil
+	return xxhash.Sum64(normalized.encoded(form))
 }
 
-// encoded returns the request as bytes that two requests share only where they are the same.
+// encoded returns bytes that are equal only for equal requests. Their hashes are compared between
+// instances and with stored data, so the names and the order of the fields must not change.
 func (g *GenerationRequest) encoded(form Form) []byte {
 	raw, err := json.Marshal(struct {
 		Form Form
 		GenerationRequest
 	}{form, *g})
-	if err != nil { // strings and numbers always encode
+	if err != nil { // can't happen: strings and numbers can always be encoded
 		panic(err)
 	}
 	return raw
 }
 
+// bodyError converts a JSON error to an error for the caller.
 func bodyError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return invalid(wrongType.Field, "has the wrong type (%s)", wrongType.Value)
+		return invalidField(wrongType.Field, "has the wrong type (%s)", wrongType.Value)
 	}
-	return invalid("body", "is no JSON object")
+	return invalidField("body", "is no JSON object")
 }
 
-// supported refuses what would change the answer and is not carried out.
-func (b *completionsBody) supported() error {
+// checkSupported returns an error for options that would change the answer and are not implemented.
+func (b *completionsBody) checkSupported() error {
 	switch {
 	case b.N != nil && *b.N != 1:
-		return invalid("n", "only one answer per request")
+		return invalidField("n", "only one answer per request")
 	case b.BestOf != nil && *b.BestOf != 1:
-		return invalid("best_of", "is not supported")
+		return invalidField("best_of", "is not supported")
 	case b.Echo:
-		return invalid("echo", "is not supported")
+		return invalidField("echo", "is not supported")
 	case b.Suffix != nil && *b.Suffix != "":
-		return invalid("suffix", "is not supported")
+		return invalidField("suffix", "is not supported")
 	case len(b.Logprobs) > 0 && string(b.Logprobs) != "null" && string(b.Logprobs) != "false":
-		return invalid("logprobs", "is not supported")
+		return invalidField("logprobs", "is not supported")
 	case len(b.Tools) > 0:
-		return invalid("tools", "is not supported")
+		return invalidField("tools", "is not supported")
 	case b.ResponseFormat != nil && b.ResponseFormat.Type != "text":
-		return invalid("response_format", "only text is supported")
+		return invalidField("response_format", "only text is supported")
 	}
 	return nil
 }
 
-func (b *completionsBody) sampling(g *GenerationRequest) error {
+// parseSampling validates the options of sampling and sets them in g.
+func (b *completionsBody) parseSampling(g *GenerationRequest) error {
 	for field, n := range map[string]*int{"max_tokens": b.MaxTokens, "max_completion_tokens": b.MaxCompletionTokens} {
 		if n == nil {
 			continue
 		}
-		if *n < 1 || *n > mostTokens {
-			return invalid(field, "must be between 1 and %d", mostTokens)
+		if *n < 1 || *n > maxTokensLimit {
+			return invalidField(field, "must be between 1 and %d", maxTokensLimit)
 		}
 		g.MaxTokens = *n
 	}
 	if b.Temperature != nil {
 		if g.Temperature = *b.Temperature; !(g.Temperature >= 0 && g.Temperature <= 2) {
-			return invalid("temperature", "must be between 0 and 2")
+			return invalidField("temperature", "must be between 0 and 2")
 		}
 	}
 	if b.TopP != nil {
 		if g.TopP = *b.TopP; !(g.TopP > 0 && g.TopP <= 1) {
-			return invalid("top_p", "must be above 0 and at most 1")
+			return invalidField("top_p", "must be above 0 and at most 1")
 		}
 	}
-	return b.stops(g)
+	return b.parseStop(g)
 }
 
-func (b *completionsBody) stops(g *GenerationRequest) error {
+// parseStop sets the stop sequences in g: none, a single string or a list.
+func (b *completionsBody) parseStop(g *GenerationRequest) error {
 	if len(b.Stop) == 0 || string(b.Stop) == "null" {
 		return nil
 	}
@@ -182,13 +190,14 @@
 		g.Stop = []string{one}
 		return nil
 	}
-	if err := json.Unmarshal(b.Stop, &g.Stop); err != nil || len(g.Stop) > mostStops {
-		return invalid("stop", "a string, or up to %d strings", mostStops)
+	if err := json.Unmarshal(b.Stop, &g.Stop); err != nil || len(g.Stop) > maxStopSequences {
+		return invalidField("stop", "a string, or up to %d strings", maxStopSequences)
 	}
 	return nil
 }
 
-func onePrompt(raw json.RawMessage) (string, error) {
+// parsePrompt returns the prompt: a string, or a list of one string.
+func parsePrompt(raw json.RawMessage) (string, error) {
 	var text string
 	if json.Unmarshal(raw, &text) == nil && len(raw) > 0 {
 		return text, nil
@@ -197,23 +206,23 @@
 	if json.Unmarshal(raw, &list) == nil && len(list) == 1 {
 		return list[0], nil
 	}
-	return "", invalid("prompt", "one string is required")
+	return "", invalidField("prompt", "one string is required")
 }
 
-// renderMessages puts a conversation into one prompt, so that any instance sends an
-// engine the same text.
+// renderMessages renders a conversation as one prompt. Every instance renders it in the same way,
+// so that engines always get the same text for it.
 func renderMessages(messages []message) (string, error) {
 	if len(messages) == 0 {
-		return "", invalid("messages", "at least one message is required")
+		return "", invalidField("messages", "at least one message is required")
 	}
 	var b strings.Builder
 	for i, m := range messages {
 		text, err := messageText(m.Content)
 		if err != nil {
-			return "", invalid(fmt.Sprintf("messages[%d].content", i), "text is required")
+			return "", invalidField(fmt.Sprintf("messages[%d].content", i), "text is required")
 		}
 		if m.Role == "" {
-			return "", invalid(fmt.Sprintf("messages[%d].role", i), "is required")
+			return "", invalidField(fmt.Sprintf("messages[%d].role", i), "is required")
 		}
 		fmt.Fprintf(&b, "<|%s|>\n%s\n", m.Role, text)
 	}
@@ -221,7 +230,7 @@
 	return b.String(), nil
 }
 
-// messageText reads a message's content: a string, or a list of text parts.
+// messageText returns the content of a message, which is a string or a list of text parts.
 func messageText(raw json.RawMessage) (string, error) {
 	var text string
 	if err := json.Unmarshal(raw, &text); err == nil {
--- a/gateway/pipeline/route.go
+++ b/gateway/pipeline/route.go
@@ -11,39 +11,39 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-// route works out what an endpoint has to offer for the request. The pick itself is made
-// for each attempt, since every attempt has other endpoints to avoid.
+// route builds the routing request: what an endpoint has to offer. An endpoint is picked for each
+// attempt, since each attempt avoids other endpoints.
 type route struct{ *Deps }
 
 func (*route) Name() string { return "route" }
 
 func (r *route) Serve(_ context.Context, x *Exchange) error {
-	r.retries.request()
+	r.retries.recordRequest()
 	if x.Form == Plain {
 		return nil
 	}
-	s := newSession(r.Deps, x, r.request(x.Deployment, x.Generation))
-	if err := r.stopped(s.request, x.Deployment.Service); err != nil {
+	s := newSession(r.Deps, x, r.routingRequest(x.Deployment, x.Generation))
+	if err := r.checkStopped(s.request, x.Deployment.Service); err != nil {
 		return err
 	}
 	x.session = s
 	return nil
 }
 
-// request describes a deployment's work to routing; g is nil for plain calls.
-func (d *Deps) request(dep *config.Deployment, g *GenerationRequest) routing.Request {
+// routingRequest returns the routing request for a deployment; g is nil for plain calls.
+func (d *Deps) routingRequest(dep *config.Deployment, g *GenerationRequest) routing.Request {
 	req := routing.Request{Service: dep.Service, DataCentre: d.Settings.Instance.DataCentre, Weights: dep.Weights}
 	if g != nil {
 		req.Model, req.Adapter, req.Version = dep.Model, g.Adapter, dep.ModelVersion
-		req.Prefixes, req.Key = endpoint.PrefixHashes(dep.Model, g.Prompt), g.Prompt[:min(len(g.Prompt), keyLength)]
+		req.Prefixes, req.Key = endpoint.PrefixHashes(dep.Model, g.Prompt), g.Prompt[:min(len(g.Prompt), maxRoutingKeyBytes)]
 	}
 	return req
 }
 
-// keyLength bounds the part of a prompt that breaks ties between endpoints.
-const keyLength = 64
+// maxRoutingKeyBytes bounds the start of a prompt that is used to break ties between endpoints.
+const maxRoutingKeyBytes = 64
 
-// pick chooses an endpoint, waiting for room until the time given.
+// pick chooses an endpoint. If none can take the request, it waits for one until the given time.
 func (d *Deps) pick(ctx context.Context, req *routing.Request, until time.Time) (routing.Endpoint, error) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -63,6 +63,7 @@
 	}
 }
 
+// pickError converts an error of routing to an error for the caller.
 func pickError(err error) error {
 	if errors.Is(err, routing.ErrFull) {
 		return apierr.New(apierr.Overloaded, "all endpoints of the deployment are full").WithRetry(time.Second)
--- a/gateway/pipeline/session.go
+++ b/gateway/pipeline/session.go
@@ -13,10 +13,9 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-// session carries out the decisions of one generation's machine: it opens, resumes,
-// probes and cancels streams, and hands accepted tokens to the sink. The lock is held
-// while the machine is stepped and while a token is written, so that a slow caller holds
-// back its own generation only.
+// session carries out the actions of one generation's machine: it opens, resumes, probes and
+// cancels streams. It passes accepted tokens to the sink. The lock is held during calls of the
+// machine and while a token is written, so a slow caller holds back only its own generation.
 type session struct {
 	*Deps
 	x       *Exchange
@@ -35,35 +34,36 @@
 	finish   *generation.Finish
 	fail     *generation.Fail
 
-	lostAt    time.Time // when the stream that fed the caller was found to be lost
-	lastToken time.Time
-	announced bool // the directory knows of it
-	keepEntry bool // the directory keeps it for a caller that may come back
-	closed    bool // nothing is done any more, and the caller's connection is not used
+	streamLostAt time.Time // when the stream that the caller was served from was found lost; zero if it was not
+	lastToken    time.Time
+	announced    bool // the generation is entered in the directory
+	keepEntry    bool // the directory entry is kept at the end, for a caller that may come back
+	closed       bool // the session takes no more actions and does not write to the caller
 
 	losses crashes.Losses
 }
 
-// attempt is what the session holds of one attempt.
+// attempt is the session's state of one attempt.
 type attempt struct {
-	endpoint string
-	cancel   context.CancelFunc
-	acked    bool
-	dropped  bool
-	// ackedAt is when its engine took it, and tokenAt when its first token came; zero when they did not.
+	endpoint  string
+	cancel    context.CancelFunc
+	acked     bool
+	cancelled bool
+	// ackedAt is when the engine acknowledged the attempt, and tokenAt when its first token
+	// arrived; zero if they have not.
 	ackedAt, tokenAt time.Time
-	served           bool // long enough for the request to be cleared
+	progressed       bool // it has produced tokens for crashes.ProgressAfter
 }
 
 func newSession(d *Deps, x *Exchange, r routing.Request) *session {
 	return &session{Deps: d, x: x, request: x.identity(), routing: r, attempts: map[int]*attempt{}, ended: make(chan struct{})}
 }
 
-// start makes the machine and carries out its first action. The streams live on when the
-// caller goes away, until the session decides what becomes of them.
+// start creates the machine and carries out its first actions. Streams don't end when the caller
+// disconnects: the session decides how long they go on.
 func (s *session) start(ctx context.Context) {
 	s.ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	s.x.atEnd(s.close)
+	s.x.addCleanup(s.close)
 	g := s.x.Generation
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,14 +72,15 @@
 	s.machine = generation.New(s.x.Deployment.RecoveryConfig(s.recovery), s.x.origin, g.Stream, endpoint.PromptTokens(g.Prompt), now, s.x.Deadline)
 	s.timer = time.AfterFunc(time.Hour, s.tick)
 	s.timerAt = now.Add(time.Hour)
-	s.settle(now)
-	if s.x.Key == "" {
-		time.AfterFunc(s.Settings.Peers.Directory, s.announceLate)
+	s.runActions(now)
+	if s.x.IdempotencyKey == "" {
+		time.AfterFunc(s.Settings.Peers.Directory, s.announceDelayed)
 	}
 }
 
-// settle carries out what the machine decided, and sets the timer. The lock is held.
-func (s *session) settle(now time.Time) {
+// runActions carries out the actions that the machine has queued, and sets the timer. The caller
+// holds the lock.
+func (s *session) runActions(now time.Time) {
 	if s.closed {
 		return
 	}
@@ -96,7 +97,8 @@
 	}
 }
 
-// tick lets time pass for the machine. The timer may be early; it is then set again.
+// tick reports the current time to the machine. The timer may fire early; runActions then sets it
+// again.
 func (s *session) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,100 +110,107 @@
 	before := s.machine.Stats().Silences
 	s.machine.Tick(now)
 	if s.machine.Stats().Silences > before {
-		s.lost(now)
+		s.markStreamLost(now)
 	}
 	s.suspectUnacknowledged()
-	s.settle(now)
+	s.runActions(now)
 }
 
-// suspectUnacknowledged takes note of engines whose acknowledgement did not come in time:
-// the machine has just queued the cancelling of such attempts.
+// suspectUnacknowledged marks engines as failed that did not acknowledge an attempt in time. The
+// machine has queued the cancellation of such an attempt, but runActions has not carried it out
+// yet. The caller holds the lock.
 func (s *session) suspectUnacknowledged() {
 	for n, a := range s.attempts {
-		if !a.acked && !a.dropped && a.endpoint != "" && s.machine.Abandoned(n) {
+		if !a.acked && !a.cancelled && a.endpoint != "" && s.machine.Abandoned(n) {
 			s.Backends.Failed(a.endpoint)
 		}
 	}
 }
 
-func (s *session) lost(now time.Time) {
-	if s.lostAt.IsZero() {
-		s.lostAt = now
+// markStreamLost records when the stream to the caller was interrupted, unless that is recorded
+// already. The caller holds the lock.
+func (s *session) markStreamLost(now time.Time) {
+	if s.streamLostAt.IsZero() {
+		s.streamLostAt = now
 	}
 }
 
+// perform carries out one action. The caller holds the lock.
 func (s *session) perform(a generation.Action) {
 	switch a := a.(type) {
 	case generation.Start:
-		s.begin(a.Attempt, func(ctx context.Context, at *attempt) { s.open(ctx, a, at) })
+		s.startAttempt(a.Attempt, func(ctx context.Context, at *attempt) { s.openStream(ctx, a, at) })
 	case generation.Resume:
-		s.begin(a.Attempt, func(ctx context.Context, at *attempt) { s.resume(ctx, a, at) })
+		s.startAttempt(a.Attempt, func(ctx context.Context, at *attempt) { s.resumeStream(ctx, a, at) })
 	case generation.Probe:
 		go s.probe(a)
 	case generation.Cancel:
-		s.drop(a)
+		s.cancelAttempt(a)
 	case generation.Finish:
 		s.finish = &a
-		s.served()
+		s.recordServed()
 		s.losses.End(true)
-		s.end()
+		s.signalEnd()
 	case generation.Fail:
 		s.fail = &a
 		s.losses.End(false)
-		s.end()
+		s.signalEnd()
 	}
 }
 
-func (s *session) end() {
-	s.metrics.generation(s.machine.Stats())
+// signalEnd records the counters of the generation and wakes the relay filter. The caller holds the
+// lock.
+func (s *session) signalEnd() {
+	s.metrics.recordGeneration(s.machine.Stats())
 	close(s.ended)
 }
 
-// place returns the session's entry for the directory. The lock is held.
-func (s *session) place() directory.Entry {
+// directoryEntry returns the directory entry for the current attempt. The caller holds the lock.
+func (s *session) directoryEntry() directory.Entry {
 	e := s.x.entry
 	number, stream := s.machine.Attempt()
 	e.Place = directory.Place{Attempt: number, Endpoint: stream.Endpoint, Stream: stream.ID}
 	return e
 }
 
-// announce tells the directory where the generation runs. The lock is held.
+// announce updates the directory with the current attempt. The caller holds the lock.
 func (s *session) announce() {
-	if s.x.Key == "" && !s.announced && time.Since(s.x.Received) < s.Settings.Peers.Directory {
-		return // most generations are over soon
+	if s.x.IdempotencyKey == "" && !s.announced && time.Since(s.x.Received) < s.Settings.Peers.Directory {
+		return // most generations end before they need an entry
 	}
 	s.announced = true
-	s.Running.Update(s.ctx, s.place())
+	s.Running.Update(s.ctx, s.directoryEntry())
 }
 
-// announceLate enters a generation without a key, once it has run for a while.
-func (s *session) announceLate() {
+// announceDelayed enters a generation without an idempotency key in the directory, once it has run
+// for the configured time.
+func (s *session) announceDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, stream := s.machine.Attempt(); s.closed || s.machine.Ended() || stream.ID == "" {
 		return
 	}
 	s.announced = true
-	s.Running.Update(s.ctx, s.place())
+	s.Running.Update(s.ctx, s.directoryEntry())
 }
 
-// close ends what is left of the session: nothing is sent to the caller any more.
+// close ends the session. Nothing is sent to the caller after it.
 func (s *session) close() {
 	s.Crashes.Tried(s.request, s)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.machine.Ended() {
-		s.metrics.generation(s.machine.Stats())
+		s.metrics.recordGeneration(s.machine.Stats())
 	}
 	s.closed = true
 	s.timer.Stop()
-	if s.announced || s.x.Key != "" {
+	if s.announced || s.x.IdempotencyKey != "" {
 		s.Running.Finish(context.WithoutCancel(s.ctx), s.x.entry.Key, s.finish != nil || s.keepEntry)
 	}
 	for _, at := range s.attempts {
-		if at.acked || !at.dropped {
+		if at.acked || !at.cancelled {
 			at.cancel()
 		}
 	}
-	time.AfterFunc(unnamedWait, s.cancel) // cancelled attempts may still learn their stream's name
+	time.AfterFunc(streamIDTimeout, s.cancel) // cancelled attempts may still be waiting for their stream's ID
 }
--- a/gateway/pipeline/sink.go
+++ b/gateway/pipeline/sink.go
@@ -12,10 +12,10 @@
 
 // sink takes the accepted tokens of a generation.
 type sink interface {
-	// attempt tells which attempt the next tokens come from.
-	attempt(e directory.Entry)
-	// token takes one token; hash is the rolling hash including it.
-	token(now time.Time, index int, text []byte, hash uint64)
+	// setAttempt sets the attempt that the next tokens come from.
+	setAttempt(e directory.Entry)
+	// writeToken takes one token. hash is the rolling hash up to and including this token.
+	writeToken(now time.Time, index int, text []byte, hash uint64)
 }
 
 // newSink returns the sink for an exchange.
@@ -26,39 +26,40 @@
 	return x.events
 }
 
-// journalOnly is the sink of an answer that is sent whole, from the journal.
+// journalOnly is the sink for an answer that is sent at once at the end: the journal holds its
+// text.
 type journalOnly struct{}
 
-func (journalOnly) attempt(directory.Entry)              {}
-func (journalOnly) token(time.Time, int, []byte, uint64) {}
+func (journalOnly) setAttempt(directory.Entry)                {}
+func (journalOnly) writeToken(time.Time, int, []byte, uint64) {}
 
-// eventStream writes server-sent events in the form of the completions protocol. Each has
-// a cursor as id. It allocates nothing for a token.
+// eventStream writes server-sent events in the form of the completions protocol. The event of each
+// token has a cursor as its id. It allocates nothing for a token.
 type eventStream struct {
-	x       *Exchange
-	key     []byte
-	control *http.ResponseController
-	cursors *cursor.Encoder
-	head    cursor.Head
-	before  []byte // of a chunk, up to the text
-	after   []byte
-	buf     []byte
-	broken  bool
-	lost    chan struct{} // closed when the caller can't be written to any more
-	last    time.Time     // of the last write
-	limit   time.Duration
-	limitAt time.Time // write deadline in force
+	x             *Exchange
+	key           []byte
+	control       *http.ResponseController
+	cursors       *cursor.Encoder
+	head          cursor.Head
+	chunkPrefix   []byte // chunk up to the opening quote of the text
+	chunkSuffix   []byte
+	buf           []byte
+	broken        bool
+	writeFailed   chan struct{} // closed when a write to the caller fails
+	lastWriteAt   time.Time     // time of the last write
+	writeTimeout  time.Duration
+	writeDeadline time.Time // deadline that is set on the connection
 }
 
 func newEventStream(d *Deps, x *Exchange) *eventStream {
 	return &eventStream{
-		x: x, lost: make(chan struct{}), key: []byte(d.Settings.Keys.Cursor), control: http.NewResponseController(x.W),
-		limit: d.Settings.Callers.WriteTimeout, last: x.Received,
+		x: x, writeFailed: make(chan struct{}), key: []byte(d.Settings.Keys.Cursor), control: http.NewResponseController(x.W),
+		writeTimeout: d.Settings.Callers.WriteTimeout, lastWriteAt: x.Received,
 		head: cursor.Head{Team: x.Team.Name, Deployment: x.Deployment.Name, Request: x.Generation.hash},
 	}
 }
 
-// chunk is an event in the form of the completions protocol.
+// chunk is the JSON of one event in the completions protocol.
 type chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -108,7 +109,7 @@
 	return x.Generation.Model + ":" + x.Generation.Adapter
 }
 
-// setText puts text where the form has it.
+// setText sets the text in the field that the form uses for it.
 func (c *chunk) setText(form Form, text string) {
 	if form == Chat {
 		c.Choices[0].Delta = &delta{Content: &text}
@@ -119,22 +120,23 @@
 
 func (c *chunk) marshal() []byte {
 	raw, err := json.Marshal(c)
-	if err != nil { // strings and numbers always encode
+	if err != nil { // can't happen: strings and numbers can always be encoded
 		panic(err)
 	}
 	return raw
 }
 
-// split returns a chunk's bytes before and after its text, quotes left out.
+// split returns the encoded chunk up to its text and after it. The quotes around the text are in
+// neither part.
 func (c *chunk) split() (before, after []byte) {
-	const mark = "\x00"
+	const placeholder = "\x00"
 	form := Completion
 	if c.Object != "text_completion" {
 		form = Chat
 	}
-	c.setText(form, mark)
+	c.setText(form, placeholder)
 	raw := c.marshal()
-	quoted, _ := json.Marshal(mark)
+	quoted, _ := json.Marshal(placeholder)
 	for i := 0; i+len(quoted) <= len(raw); i++ {
 		if string(raw[i:i+len(quoted)]) == string(quoted) {
 			return raw[:i], append(append([]byte(nil), raw[i+len(quoted):]...), "\n\n"...)
@@ -143,35 +145,35 @@
 	return raw, nil
 }
 
-func (e *eventStream) attempt(d directory.Entry) {
+func (e *eventStream) setAttempt(d directory.Entry) {
 	e.head.Attempt, e.head.Endpoint, e.head.Stream = d.Place.Attempt, d.Place.Endpoint, d.Place.Stream
 	e.head.Model, e.head.Version, e.head.Generation = d.Model, d.Version, d.Generation
 	if e.cursors == nil {
-		e.before, e.after = newChunk(e.x).split()
+		e.chunkPrefix, e.chunkSuffix = newChunk(e.x).split()
 		e.cursors = cursor.NewEncoder(e.key, e.head)
 		return
 	}
 	e.cursors.SetHead(e.head)
 }
 
-func (e *eventStream) token(now time.Time, index int, text []byte, hash uint64) {
-	if !e.x.answered {
-		e.begin()
+func (e *eventStream) writeToken(now time.Time, index int, text []byte, hash uint64) {
+	if !e.x.responseStarted {
+		e.writeHeader()
 	}
 	b := append(e.buf[:0], "id: "...)
 	b = e.cursors.Append(b, index+1, hash)
 	b = append(b, "\ndata: "...)
-	b = append(b, e.before...)
+	b = append(b, e.chunkPrefix...)
 	b = appendQuoted(b, text)
-	b = append(b, e.after...)
+	b = append(b, e.chunkSuffix...)
 	e.buf = b
 	e.write(now, b)
 }
 
-// begin sends the header. It is not sent before there is something to say, so that a
-// request that fails before that gets a status of its own.
-func (e *eventStream) begin() {
-	e.x.answered = true
+// writeHeader sends the header of the response. It is delayed until the first event, so that a
+// request that fails before has a status of its own.
+func (e *eventStream) writeHeader() {
+	e.x.responseStarted = true
 	h := e.x.W.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -183,37 +185,38 @@
 	if e.broken {
 		return
 	}
-	if now.Add(e.limit).After(e.limitAt) {
-		e.limitAt = now.Add(2 * e.limit)
-		_ = e.control.SetWriteDeadline(e.limitAt) // not every writer has deadlines
+	if now.Add(e.writeTimeout).After(e.writeDeadline) {
+		e.writeDeadline = now.Add(2 * e.writeTimeout)
+		_ = e.control.SetWriteDeadline(e.writeDeadline) // not every writer supports deadlines
 	}
-	e.last = now
+	e.lastWriteAt = now
 	_, err := e.x.W.Write(b)
 	if err == nil {
 		err = e.control.Flush()
 	}
 	if err != nil {
 		e.broken = true
-		close(e.lost)
+		close(e.writeFailed)
 	}
 }
 
-// idle writes a comment when nothing was written for a while, so that the caller can tell
+// keepalive writes a comment if nothing was written for the given time, so that the caller can tell
 // a slow answer from a dead connection.
-func (e *eventStream) idle(now time.Time, after time.Duration) {
-	if now.Sub(e.last) < after-after/10 { // a tick that is a little early counts
+func (e *eventStream) keepalive(now time.Time, after time.Duration) {
+	if now.Sub(e.lastWriteAt) < after-after/10 { // tolerates a tick that is slightly early
 		return
 	}
-	if !e.x.answered {
-		e.begin()
+	if !e.x.responseStarted {
+		e.writeHeader()
 	}
 	e.write(now, []byte(": keepalive\n\n"))
 }
 
-// end writes the last events.
-func (e *eventStream) end(now time.Time, reason string, tokens, prompt int) {
-	if !e.x.answered {
-		e.begin()
+// writeEnd writes the last events: the finish reason, the usage if the caller asked for it, and the
+// end marker.
+func (e *eventStream) writeEnd(now time.Time, reason string, tokens, prompt int) {
+	if !e.x.responseStarted {
+		e.writeHeader()
 	}
 	c := newChunk(e.x)
 	c.setText(e.x.Form, "")
@@ -228,8 +231,8 @@
 	e.write(now, append(b, "data: [DONE]\n\n"...))
 }
 
-// fail writes an error into a stream that has begun.
-func (e *eventStream) fail(now time.Time, body []byte) {
+// writeError writes an error as an event of a stream that has been started.
+func (e *eventStream) writeError(now time.Time, body []byte) {
 	b := append(append([]byte("event: error\ndata: "), body...), "\n\n"...)
 	e.write(now, b)
 }
--- a/gateway/pipeline/streams.go
+++ b/gateway/pipeline/streams.go
@@ -11,7 +11,8 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-func (s *session) begin(number int, run func(context.Context, *attempt)) {
+// startAttempt registers an attempt and runs it in a goroutine. The caller holds the lock.
+func (s *session) startAttempt(number int, run func(context.Context, *attempt)) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	at := &attempt{cancel: cancel}
 	s.attempts[number] = at
@@ -21,25 +22,25 @@
 	}()
 }
 
-// roomWait is how long an attempt waits for room at an endpoint before the machine is
-// told that there is none.
-const roomWait = 150 * time.Millisecond
+// capacityWait is how long an attempt waits for an endpoint with a free slot before it fails with
+// NoEndpoint.
+const capacityWait = 150 * time.Millisecond
 
-// open routes an attempt and starts its stream.
-func (s *session) open(ctx context.Context, a generation.Start, at *attempt) {
+// openStream picks an engine for an attempt and relays its stream until the stream ends.
+func (s *session) openStream(ctx context.Context, a generation.Start, at *attempt) {
 	req := s.routing
 	s.mu.Lock()
 	req.Avoid, req.Recovery, req.Version = a.Avoid, a.Recovery, s.x.entry.Version
 	s.mu.Unlock()
-	weights, ok := s.mayStart(a.Attempt)
+	weights, ok := s.admitAttempt(a.Attempt)
 	if !ok {
 		return
 	}
 	req.Weights = weights
-	e, err := s.pick(ctx, &req, time.Now().Add(roomWait))
+	e, err := s.pick(ctx, &req, time.Now().Add(capacityWait))
 	if err != nil {
 		s.Crashes.Tried(s.request, s)
-		s.failed(a.Attempt, generation.NoEndpoint, 0)
+		s.reportFailure(a.Attempt, generation.NoEndpoint, 0)
 		return
 	}
 	id := e.ID
@@ -53,13 +54,14 @@
 	defer span.End()
 	sentAt := time.Now()
 	stream, err := s.Client.Open(ctx, e.Address, start)
-	if err = s.read(a.Attempt, id, stream, err); err != nil {
-		s.blame(ctx, &e, sentAt, at, err)
+	if err = s.readStream(a.Attempt, id, stream, err); err != nil {
+		s.attributeCrash(ctx, &e, sentAt, at, err)
 		s.Crashes.Tried(s.request, s)
-		s.endpointFailed(a.Attempt, id, err)
+		s.reportEndpointFailure(a.Attempt, id, err)
 	}
 }
 
+// startRequest returns the request that starts a stream for an attempt. The caller holds the lock.
 func (s *session) startRequest(a generation.Start) *endpoint.StartRequest {
 	g, dep := s.x.Generation, s.x.Deployment
 	r := &endpoint.StartRequest{
@@ -76,8 +78,8 @@
 	return r
 }
 
-// seed is the caller's, or one made from the generation's name, so that every instance
-// that goes on with it uses the same.
+// seed returns the caller's seed, or one derived from the id of the generation. All instances that
+// continue the generation use the same seed.
 func (s *session) seed() int64 {
 	if s.x.Generation.Seed != nil {
 		return *s.x.Generation.Seed
@@ -87,11 +89,12 @@
 	return int64(h.Sum64() >> 1)
 }
 
-func (s *session) resume(ctx context.Context, a generation.Resume, at *attempt) {
+// resumeStream continues a running stream on a new connection until it ends.
+func (s *session) resumeStream(ctx context.Context, a generation.Resume, at *attempt) {
 	id := a.Stream.Endpoint
 	address, ok := s.Backends.Address(id)
 	if !ok {
-		s.failed(a.Attempt, generation.Gone, 0)
+		s.reportFailure(a.Attempt, generation.Gone, 0)
 		return
 	}
 	s.mu.Lock()
@@ -100,22 +103,24 @@
 	s.Backends.Sent(id)
 	defer s.Backends.Finished(id)
 	stream, err := s.Client.Resume(ctx, address, s.x.entry.Generation, a.Stream.ID, a.From, a.Attempt)
-	if err = s.read(a.Attempt, id, stream, err); err != nil {
-		s.endpointFailed(a.Attempt, id, err)
+	if err = s.readStream(a.Attempt, id, stream, err); err != nil {
+		s.reportEndpointFailure(a.Attempt, id, err)
 	}
 }
 
-// read reads a stream to its end; err is why it was not opened. It returns how it ended, nil for well.
-func (s *session) read(number int, id string, stream *endpoint.Stream, err error) error {
+// readStream reads a stream to its end. It returns nil if the answer is complete. err is the error
+// of opening the stream; it is returned as it is.
+func (s *session) readStream(number int, id string, stream *endpoint.Stream, err error) error {
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	return stream.Receive(&receiver{s: s, number: number, endpoint: id})
+	return stream.Receive(&receiver{s: s, attempt: number, endpoint: id})
 }
 
-// failureOf turns an endpoint's error into the machine's.
-func failureOf(err error) generation.Failure {
+// failureFromError converts the error of an endpoint to the failure that is reported to the
+// machine.
+func failureFromError(err error) generation.Failure {
 	switch {
 	case errorx.IsOfType(err, endpoint.ErrRefused):
 		return generation.Refused
@@ -131,41 +136,47 @@
 	return generation.Broken
 }
 
-func (s *session) endpointFailed(number int, id string, err error) {
-	why, wait := failureOf(err), endpoint.RetryAfter(err)
+// reportEndpointFailure reports the error of an attempt to the machine. It marks the endpoint as
+// failed if the connection broke, if the stream carried events of another stream, or if the
+// endpoint refused without a time to retry. It does nothing if this instance closed the stream
+// itself.
+func (s *session) reportEndpointFailure(number int, id string, err error) {
+	failure, wait := failureFromError(err), endpoint.RetryAfter(err)
 	s.mu.Lock()
-	ours := s.closed || s.attempts[number].dropped
+	closedByUs := s.closed || s.attempts[number].cancelled
 	s.mu.Unlock()
-	if ours {
-		return // we closed it ourselves
+	if closedByUs {
+		return // the error follows from our own cancellation
 	}
-	unreachable := why == generation.Refused && wait == 0
-	if why == generation.Broken || why == generation.Gone || unreachable {
+	unreachable := failure == generation.Refused && wait == 0
+	if failure == generation.Broken || failure == generation.Gone || unreachable {
 		s.Backends.Failed(id)
 	}
-	s.failed(number, why, wait)
+	s.reportFailure(number, failure, wait)
 }
 
-func (s *session) failed(number int, why generation.Failure, wait time.Duration) {
+// reportFailure reports a failed attempt to the machine and carries out its actions.
+func (s *session) reportFailure(number int, failure generation.Failure, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if current, _ := s.machine.Attempt(); current == number && s.machine.Journal().Len() > 0 {
-		s.lost(now)
+		s.markStreamLost(now)
 	}
-	s.machine.Failed(now, number, why, wait)
-	s.settle(now)
+	s.machine.Failed(now, number, failure, wait)
+	s.runActions(now)
 }
 
-// probe asks on a new connection whether a stream still runs.
+// probe asks on a new connection whether a stream is still running, and reports that to the
+// machine.
 func (s *session) probe(a generation.Probe) {
 	address, ok := s.Backends.Address(a.Stream.Endpoint)
 	ctx, cancel := context.WithTimeout(s.ctx, s.x.Deployment.RecoveryConfig(s.recovery).ProbeTimeout)
 	defer cancel()
-	var st endpoint.StreamState
+	var state endpoint.StreamState
 	var err error
 	if ok {
-		st, err = s.Client.Probe(ctx, address, a.Stream.ID)
+		state, err = s.Client.Probe(ctx, address, a.Stream.ID)
 	}
 	alive := ok && err == nil
 	if alive {
@@ -176,16 +187,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.machine.Probed(now, a.Attempt, alive, st.Index)
-	s.settle(now)
+	s.machine.Probed(now, a.Attempt, alive, state.Index)
+	s.runActions(now)
 }
 
-// drop cancels an attempt. One that was not acknowledged has no name yet: its connection
-// is kept until the engine names the stream, so that it does not run on unnoticed.
-func (s *session) drop(a generation.Cancel) {
+// cancelAttempt cancels an attempt. The ID of its stream is not known before the engine
+// acknowledges it. Until then the connection is kept open, for streamIDTimeout at most, so that the
+// stream can be cancelled by its ID and does not keep running unnoticed. The caller holds the lock.
+func (s *session) cancelAttempt(a generation.Cancel) {
 	at := s.attempts[a.Attempt]
 	if at != nil {
-		at.dropped = true
+		at.cancelled = true
 	}
 	if a.Stream.ID != "" {
 		if at != nil {
@@ -195,10 +207,11 @@
 		return
 	}
 	if at != nil {
-		time.AfterFunc(unnamedWait, at.cancel)
+		time.AfterFunc(streamIDTimeout, at.cancel)
 	}
 }
 
-// unnamedWait is how long a cancelled attempt waits for its stream's name. An engine that
-// was frozen takes the request up when it returns, and would run it to the end unread.
-const unnamedWait = 30 * time.Second
+// streamIDTimeout is how long a cancelled attempt waits for the ID of its stream. An engine that
+// was frozen processes the request when it recovers. It would generate the whole answer although
+// nobody reads it.
+const streamIDTimeout = 30 * time.Second
