--- a/cli/caller/entry.go
+++ b/cli/caller/entry.go
@@ -76,7 +76,7 @@
 		for _, x := range e.Addresses {
 			c.known = append(c.known, x.Address)
 		}
-		c.until = time.Now().Add(time.Duration(e.KeepSeconds * float64(time.Second)))
+		c.until = time.Now().Add(time.Duration(e.TTLSeconds * float64(time.Second)))
 		return
 	}
 }
--- a/gateway/callers/callers.go
+++ b/gateway/callers/callers.go
@@ -1,5 +1,7 @@
-// Package callers serves the HTTP API for callers: generations in the form of the
-// completions protocol, plain services, entry addresses, tickets, health and metrics.
+// Package callers serves the HTTP API for callers: generations in the form of the completions
+// protocol, calls to plain services, entry addresses, tickets, the list of models, health and
+// metrics. Generations and plain calls are handled by package pipeline. Errors have the form of
+// package apierr.
 package callers
 
 import (
@@ -16,19 +18,21 @@
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
-// Options of the API.
+// Options configures the API. All fields but EntryTTL are required.
 type Options struct {
-	Pipeline  *pipeline.Pipeline
-	Config    *config.Config
-	Fleet     *fleet.Fleet
-	Tickets   *once.Tickets
-	EntryKeep time.Duration
-	Metrics   http.Handler
-	// Ready tells whether this instance is able to serve, and why not.
+	Pipeline *pipeline.Pipeline
+	Config   *config.Config
+	Fleet    *fleet.Fleet
+	Tickets  *once.Tickets
+	// EntryTTL is how long callers may cache the answer to GET /v1/entry; 0 means not at all.
+	EntryTTL time.Duration
+	// Metrics serves GET /metrics.
+	Metrics http.Handler
+	// Ready returns whether this instance is able to serve, and if not, the reason.
 	Ready func() (bool, string)
 }
 
-// Handler returns the API.
+// Handler returns the handler of the API.
 func Handler(o Options) http.Handler {
 	r := chi.NewRouter()
 	serve := func(form pipeline.Form) http.HandlerFunc {
@@ -39,10 +43,10 @@
 	r.HandleFunc("/v1/services/*", serve(pipeline.Plain))
 	r.Get("/v1/models", o.models)
 	r.Get("/v1/entry", o.entry)
-	r.Post("/v1/tickets", o.mint)
-	r.Get("/v1/tickets/{ticket}", o.ask)
-	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, state{State: "alive"}) })
-	r.Get("/readyz", o.ready)
+	r.Post("/v1/tickets", o.mintTicket)
+	r.Get("/v1/tickets/{ticket}", o.ticketOutcome)
+	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, health{State: "alive"}) })
+	r.Get("/readyz", o.readyz)
 	r.Handle("/metrics", o.Metrics)
 	r.NotFound(func(w http.ResponseWriter, _ *http.Request) { apierr.New(apierr.NotFound, "no such path").Write(w) })
 	return r
@@ -51,43 +55,45 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(v) // an error means that the caller has disconnected
 }
 
-type state struct {
-	State string `json:"state"`
-	Why   string `json:"why,omitempty"`
+// health is the answer to GET /healthz and GET /readyz.
+type health struct {
+	State  string `json:"state"`
+	Reason string `json:"why,omitempty"`
 }
 
-func (o *Options) ready(w http.ResponseWriter, _ *http.Request) {
-	if ok, why := o.Ready(); !ok {
-		writeJSON(w, http.StatusServiceUnavailable, state{"not ready", why})
+func (o *Options) readyz(w http.ResponseWriter, _ *http.Request) {
+	if ok, reason := o.Ready(); !ok {
+		writeJSON(w, http.StatusServiceUnavailable, health{"not ready", reason})
 		return
 	}
-	writeJSON(w, http.StatusOK, state{State: "ready"})
+	writeJSON(w, http.StatusOK, health{State: "ready"})
 }
 
 // Entry is the answer to GET /v1/entry.
 type Entry struct {
+	// Addresses are ordered by preference, the best first.
 	Addresses []EntryAddress `json:"addresses"`
-	// KeepSeconds is how long the answer may be kept.
-	KeepSeconds float64 `json:"keep_s"`
+	// TTLSeconds is how long the answer may be cached.
+	TTLSeconds float64 `json:"keep_s"`
 }
 
-// EntryAddress is an address to use, best first.
+// EntryAddress is the address of an instance that a caller may use.
 type EntryAddress struct {
 	Address    string `json:"address"`
 	Instance   string `json:"instance"`
 	DataCentre string `json:"data_centre"`
 }
 
-// mostEntries bounds the addresses in an answer.
-const mostEntries = 8
+// maxEntryAddresses bounds the number of addresses in an answer.
+const maxEntryAddresses = 8
 
 func (o *Options) entry(w http.ResponseWriter, r *http.Request) {
 	members := o.Fleet.Entry(r.URL.Query().Get("data_centre"))
-	e := Entry{KeepSeconds: o.EntryKeep.Seconds(), Addresses: []EntryAddress{}}
-	for _, m := range members[:min(len(members), mostEntries)] {
+	e := Entry{TTLSeconds: o.EntryTTL.Seconds(), Addresses: []EntryAddress{}}
+	for _, m := range members[:min(len(members), maxEntryAddresses)] {
 		e.Addresses = append(e.Addresses, EntryAddress{m.Address, m.ID, m.DataCentre})
 	}
 	writeJSON(w, http.StatusOK, e)
@@ -96,11 +102,11 @@
 // Ticket is the answer to POST /v1/tickets.
 type Ticket struct {
 	Ticket string `json:"ticket"`
-	// ExpiresSeconds is how long it is valid.
+	// ExpiresSeconds is how long the ticket is valid.
 	ExpiresSeconds float64 `json:"expires_s"`
 }
 
-func (o *Options) mint(w http.ResponseWriter, r *http.Request) {
+func (o *Options) mintTicket(w http.ResponseWriter, r *http.Request) {
 	team, err := pipeline.Authenticate(o.Config, r.Header.Get("Authorization"))
 	if err != nil {
 		apierr.From(err).Write(w)
@@ -110,9 +116,9 @@
 	writeJSON(w, http.StatusCreated, Ticket{text, ttl.Seconds()})
 }
 
-// ask answers what became of a ticket: the kept response, or an error that says whether
-// the call ran.
-func (o *Options) ask(w http.ResponseWriter, r *http.Request) {
+// ticketOutcome answers with the outcome of the call that a ticket was used for: the stored
+// response, or an error that says whether the call ran.
+func (o *Options) ticketOutcome(w http.ResponseWriter, r *http.Request) {
 	team, err := pipeline.Authenticate(o.Config, r.Header.Get("Authorization"))
 	if err != nil {
 		apierr.From(err).Write(w)
@@ -131,7 +137,7 @@
 	_, _ = w.Write(outcome.Body)
 }
 
-// model is an entry of GET /v1/models, in the form of the completions protocol.
+// model is an element of the answer to GET /v1/models, in the form of the completions protocol.
 type model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -222,7 +222,7 @@
 	mux.Handle(path, operator.Authorize(d.settings.Keys.Operator, handler))
 	mux.Handle("/", callers.Handler(callers.Options{
 		Pipeline: d.Pipeline, Config: d.Config, Fleet: d.Fleet, Tickets: d.Tickets,
-		EntryKeep: d.settings.Callers.EntryKeep, Metrics: d.telemetry.Metrics, Ready: d.ready,
+		EntryTTL: d.settings.Callers.EntryKeep, Metrics: d.telemetry.Metrics, Ready: d.ready,
 	}))
 	return mux
 }
