--- a/gateway/apierr/apierr.go
+++ b/gateway/apierr/apierr.go
@@ -1,5 +1,5 @@
-// Package apierr defines the one form in which callers get errors: a JSON body with
-// code, message, field, whether the request ran, and when to come back.
+// Package apierr defines the errors that callers receive. All have one form: a JSON body with a
+// code, a message, the invalid field, whether the request ran, and when to retry.
 package apierr
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Code names an error for programs. Codes are part of the API and never change.
+// Code identifies an error for programs. Codes are part of the API and never change.
 type Code string
 
 // Codes of errors to callers.
@@ -40,40 +40,41 @@
 // Ran tells whether the request ran.
 type Ran string
 
-// Values of Ran. NotRun is said only when it is certain.
+// Values of Ran. NotRun is used only if that is certain.
 const (
 	NotRun  Ran = "not_run"
 	Unknown Ran = "unknown"
 	DidRun  Ran = "ran"
 )
 
-// Error is an error as callers see it.
+// Error is an error for a caller.
 type Error struct {
 	Status  int    `json:"-"`
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Field names the part of the request that is wrong, where one is.
+	// Field names the invalid part of the request; empty if there is none.
 	Field string `json:"field,omitempty"`
 	Ran   Ran    `json:"ran"`
-	// RetryAfter is when asking again may help; 0 when it will not.
+	// RetryAfter is the time after which a retry may succeed; 0 if a retry is not expected to help.
 	RetryAfter time.Duration `json:"-"`
-	// ValidTokens is how many tokens of a broken-off answer are correct.
+	// ValidTokens is how many tokens of an incomplete answer are correct; nil unless an event
+	// stream failed.
 	ValidTokens *int `json:"valid_tokens,omitempty"`
 }
 
 // Error returns the text for logs.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s", e.Code, e.Message) }
 
-// WithField returns the error naming a field.
-func (e *Error) WithField(f string) *Error { e.Field = f; return e }
+// WithField sets the invalid field and returns e.
+func (e *Error) WithField(field string) *Error { e.Field = field; return e }
 
-// WithRetry returns the error with the time to come back.
-func (e *Error) WithRetry(d time.Duration) *Error { e.RetryAfter = d; return e }
+// WithRetryAfter sets the time to retry and returns e.
+func (e *Error) WithRetryAfter(after time.Duration) *Error { e.RetryAfter = after; return e }
 
-// WithRan returns the error with another word on whether the request ran.
+// WithRan sets whether the request ran and returns e.
 func (e *Error) WithRan(r Ran) *Error { e.Ran = r; return e }
 
-var statusOf = map[Code]int{
+var statusByCode = map[Code]int{
 	InvalidRequest: http.StatusBadRequest, Unauthenticated: http.StatusUnauthorized,
 	PermissionDenied: http.StatusForbidden, NotFound: http.StatusNotFound,
 	TeamLimit: http.StatusTooManyRequests, Overloaded: http.StatusServiceUnavailable,
@@ -85,13 +86,14 @@
 	EndpointError: http.StatusBadGateway, Internal: http.StatusInternalServerError,
 }
 
-// New returns an error that says the request did not run.
+// New returns an error with the HTTP status of its code. It says that the request did not run; see
+// [Error.WithRan].
 func New(c Code, format string, args ...any) *Error {
-	return &Error{Status: statusOf[c], Code: c, Message: fmt.Sprintf(format, args...), Ran: NotRun}
+	return &Error{Status: statusByCode[c], Code: c, Message: fmt.Sprintf(format, args...), Ran: NotRun}
 }
 
-// From returns err as an Error; anything else becomes an internal error whose outcome
-// is unknown.
+// From returns the Error in the chain of err. Any other error becomes an internal error with an
+// unknown outcome, whose message does not reveal err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -105,7 +107,7 @@
 	Error *Detail `json:"error"`
 }
 
-// Detail is an error with its time to come back in seconds.
+// Detail is an error together with the time to retry, in seconds.
 type Detail struct {
 	*Error
 	// Type repeats the code, for clients of the completions protocol.
@@ -113,16 +115,17 @@
 	RetryAfterSeconds float64 `json:"retry_after_s,omitempty"`
 }
 
-// Marshal returns the JSON body.
+// Marshal returns the error as the JSON body of a response.
 func (e *Error) Marshal() []byte {
 	raw, err := json.Marshal(Body{&Detail{e, string(e.Code), e.RetryAfter.Seconds()}})
-	if err != nil { // only strings and numbers
+	if err != nil { // can't happen: strings and numbers can always be encoded
 		panic(err)
 	}
 	return raw
 }
 
-// Write sends the error as the response.
+// Write sends the error as the response. The time to retry is sent in the headers Retry-After, in
+// seconds rounded up, and Retry-After-Ms.
 func (e *Error) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/gateway/pipeline/admit.go
+++ b/gateway/pipeline/admit.go
@@ -34,7 +34,7 @@
 
 func (a *admit) Serve(_ context.Context, x *Exchange) error {
 	if a.draining.Load() {
-		return apierr.New(apierr.Draining, "this instance is shutting down; ask /v1/entry for another").WithRetry(time.Second)
+		return apierr.New(apierr.Draining, "this instance is shutting down; ask /v1/entry for another").WithRetryAfter(time.Second)
 	}
 	body, err := a.readBody(x)
 	if err != nil {
--- a/gateway/pipeline/claim.go
+++ b/gateway/pipeline/claim.go
@@ -91,7 +91,7 @@
 	}
 	e, ok := c.Running.TakeOver(ctx, x.entry.Key, x.entry.Request)
 	if !ok {
-		return apierr.New(apierr.InProgress, "a request with this key was just begun").WithField(HeaderIdempotencyKey).WithRetry(time.Second)
+		return apierr.New(apierr.InProgress, "a request with this key was just begun").WithField(HeaderIdempotencyKey).WithRetryAfter(time.Second)
 	}
 	c.metrics.takeovers.Inc(1)
 	x.entry.Generation, x.entry.Version = held.Generation, e.Version
@@ -136,7 +136,7 @@
 func OnceError(err error) error {
 	for _, e := range onceErrors {
 		if errorx.IsOfType(err, e.errorType) {
-			out := apierr.New(e.code, "%s", errorx.Cast(err).Message()).WithRan(e.ran).WithRetry(e.retryAfter)
+			out := apierr.New(e.code, "%s", errorx.Cast(err).Message()).WithRan(e.ran).WithRetryAfter(e.retryAfter)
 			return out
 		}
 	}
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -40,7 +40,7 @@
 
 // stoppedError returns the error for a stopped request. left is how long it is still stopped.
 func stoppedError(left time.Duration) error {
-	return apierr.New(apierr.Unavailable, "the request ends the endpoints that run it").WithRetry(left)
+	return apierr.New(apierr.Unavailable, "the request ends the endpoints that run it").WithRetryAfter(left)
 }
 
 // admitAttempt tells whether the request may be sent to another engine, and returns the weights to
@@ -157,7 +157,7 @@
 	case a.Verdict == crashers.Stopped:
 		return t.markMayHaveRun(stoppedError(a.Remaining))
 	case a.Busy:
-		return t.markMayHaveRun(apierr.New(apierr.Unavailable, "the request is being tried, since endpoints ended under it").WithRetry(time.Second))
+		return t.markMayHaveRun(apierr.New(apierr.Unavailable, "the request is being tried, since endpoints ended under it").WithRetryAfter(time.Second))
 	}
 	t.careful = a.Verdict == crashers.Careful
 	return nil
--- a/gateway/pipeline/dispatch.go
+++ b/gateway/pipeline/dispatch.go
@@ -168,12 +168,12 @@
 // whether the call may be retried.
 func classifyPlainError(err error, idempotent bool) (error, bool) {
 	if errorx.IsOfType(err, endpoint.ErrRefused) {
-		return apierr.New(apierr.Unavailable, "no endpoint took the request").WithRetry(clampRetryAfter(endpoint.RetryAfter(err))), true
+		return apierr.New(apierr.Unavailable, "no endpoint took the request").WithRetryAfter(clampRetryAfter(endpoint.RetryAfter(err))), true
 	}
 	ran := apierr.Unknown
 	e := apierr.New(apierr.OutcomeUnknown, "the endpoint's answer was lost").WithRan(ran)
 	if idempotent {
-		e = apierr.New(apierr.EndpointError, "the endpoint did not answer").WithRan(ran).WithRetry(time.Second)
+		e = apierr.New(apierr.EndpointError, "the endpoint did not answer").WithRan(ran).WithRetryAfter(time.Second)
 	}
 	return e, idempotent
 }
--- a/gateway/pipeline/limit.go
+++ b/gateway/pipeline/limit.go
@@ -68,7 +68,7 @@
 	t.SetFleetUsage(fleet)
 	if refusal := t.Acquire(now); refusal != nil {
 		l.metrics.scope.Tagged(map[string]string{"reason": string(refusal.Reason)}).Counter("refused").Inc(1)
-		return apierr.New(apierr.TeamLimit, "the team's limit is reached (%s)", refusal.Reason).WithRetry(refusal.RetryAfter)
+		return apierr.New(apierr.TeamLimit, "the team's limit is reached (%s)", refusal.Reason).WithRetryAfter(refusal.RetryAfter)
 	}
 	x.addCleanup(func() {
 		l.mu.Lock()
@@ -128,7 +128,7 @@
 // overloaded counts a refusal and returns its error; wait is the time to retry.
 func (l *limit) overloaded(wait time.Duration) error {
 	l.metrics.scope.Tagged(map[string]string{"reason": string(limits.ReasonOverload)}).Counter("refused").Inc(1)
-	return apierr.New(apierr.Overloaded, "the deployment has more work than it can do in time").WithRetry(wait)
+	return apierr.New(apierr.Overloaded, "the deployment has more work than it can do in time").WithRetryAfter(wait)
 }
 
 // waitForSlot waits until the queue grants a slot, at most for maxWait. A caller that asked for a
--- a/gateway/pipeline/relay.go
+++ b/gateway/pipeline/relay.go
@@ -107,7 +107,7 @@
 // apiError converts the failure of the generation to an error for the caller.
 func (s *session) apiError() error {
 	f := s.fail
-	e := apierr.New(apiCodes[f.Code], "%s", f.Detail).WithRetry(f.RetryAfter)
+	e := apierr.New(apiCodes[f.Code], "%s", f.Detail).WithRetryAfter(f.RetryAfter)
 	if f.MayHaveRun {
 		e.Ran = apierr.DidRun
 	}
--- a/gateway/pipeline/route.go
+++ b/gateway/pipeline/route.go
@@ -66,7 +66,7 @@
 // pickError converts an error of routing to an error for the caller.
 func pickError(err error) error {
 	if errors.Is(err, routing.ErrFull) {
-		return apierr.New(apierr.Overloaded, "all endpoints of the deployment are full").WithRetry(time.Second)
+		return apierr.New(apierr.Overloaded, "all endpoints of the deployment are full").WithRetryAfter(time.Second)
 	}
-	return apierr.New(apierr.Unavailable, "no endpoint of the deployment is able to take the request").WithRetry(time.Second)
+	return apierr.New(apierr.Unavailable, "no endpoint of the deployment is able to take the request").WithRetryAfter(time.Second)
 }
