--- a/gateway/cmd/agatewayd/front.go
+++ b/gateway/cmd/agatewayd/front.go
@@ -15,7 +15,7 @@
 	"github.com/agateway/agateway/gateway/settings"
 )
 
-// frontCommand runs an instance that forwards requests on a platform.
+// frontCommand returns the command that runs an instance that forwards requests on a platform.
 func frontCommand() *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
@@ -39,9 +39,9 @@
 	return cmd
 }
 
-// runFront serves until SIGTERM or SIGINT, and then drains; an interrupt meanwhile ends at once. A
-// reader of the log that goes away (SIGPIPE) must not end it, nor must SIGHUP, which says that the
-// settings changed.
+// runFront serves until SIGTERM or SIGINT and then drains. An interrupt during the drain ends the
+// process at once. SIGPIPE is ignored: the process must go on when the reader of its log goes away.
+// SIGHUP reloads the settings.
 func runFront(file string) error {
 	s, err := settings.LoadFront(file)
 	if err != nil {
--- a/gateway/cmd/agatewayd/main.go
+++ b/gateway/cmd/agatewayd/main.go
@@ -14,12 +14,12 @@
 )
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var file string
 	root := &cobra.Command{
 		Use: "agatewayd", Short: "Serves generations and plain services on one entry instance",
@@ -44,7 +44,8 @@
 	return root
 }
 
-// run serves until SIGTERM or SIGINT, and then drains; an interrupt meanwhile ends at once.
+// run serves until SIGTERM or SIGINT and then drains. An interrupt during the drain ends the
+// process at once.
 func run(cmd *cobra.Command, file string) error {
 	s, err := settings.Load(file)
 	if err != nil {
--- a/gateway/cmd/agatewayd/stop_test.go
+++ b/gateway/cmd/agatewayd/stop_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSecondSignal: a second SIGTERM changes nothing, an interrupt ends at once.
-func TestSecondSignal(t *testing.T) {
+// TestSecondStopSignal checks that another SIGTERM during a drain changes nothing, so that
+// overlapping restarts cut no requests, and that an interrupt ends the process at once.
+func TestSecondStopSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signals := make(chan os.Signal)
 		codes := []int{}
