--- a/gateway/settings/check.go
+++ b/gateway/settings/check.go
@@ -10,8 +10,9 @@
 	"strings"
 )
 
-const leastSecret = 16
+const minSecretLength = 16 // characters
 
+// checks maps the values of the struct tag "check" to functions that check a key's text.
 var checks = map[string]func(string) error{
 	"address":          checkAddress,
 	"optional-address": checkOptionalAddress,
@@ -24,7 +25,7 @@
 	"exporter":         oneOf("none", "otlp"),
 }
 
-// contradictions checks keys against each other.
+// contradictions returns an error text for each pair of keys whose values exclude each other.
 func (s *Settings) contradictions() []string {
 	var out []string
 	if s.Recovery.SilenceFloor > s.Recovery.SilenceCeiling {
@@ -33,7 +34,7 @@
 	return append(out, s.Traces.contradictions()...)
 }
 
-// contradictions checks the keys of traces against each other.
+// contradictions returns an error text for each pair of keys whose values exclude each other.
 func (t *Traces) contradictions() []string {
 	if t.Exporter == "otlp" && t.Endpoint == "" {
 		return []string{"[traces] endpoint: is required for the exporter otlp"}
@@ -68,8 +69,8 @@
 }
 
 func checkSecret(text string) error {
-	if len(text) < leastSecret {
-		return fmt.Errorf("must have at least %d characters", leastSecret)
+	if len(text) < minSecretLength {
+		return fmt.Errorf("must have at least %d characters", minSecretLength)
 	}
 	return nil
 }
--- a/gateway/settings/front.go
+++ b/gateway/settings/front.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Front are the settings of an instance that forwards requests on a platform: it takes routes, keys and
-// endpoints from the platform's store.
+// Front holds the settings of an instance that forwards requests on a platform: it reads routes,
+// keys and endpoints from the platform's store.
 type Front struct {
 	Instance   FrontInstance   `ini:"instance"`
 	Listen     FrontListen     `ini:"listen"`
@@ -18,14 +18,14 @@
 	Traces     Traces          `ini:"traces"`
 }
 
-// FrontInstance says who and where this process is.
+// FrontInstance names this process and its location.
 type FrontInstance struct {
 	ID         string `ini:"id" required:"yes" doc:"name of this instance, unique in the fleet"`
 	DataCentre string `ini:"data_centre" required:"yes" doc:"data centre this instance runs in"`
 	Region     string `ini:"region" required:"yes" doc:"region of the data centre"`
 }
 
-// FrontListen says where to listen.
+// FrontListen holds the addresses to listen on.
 type FrontListen struct {
 	Callers   string `ini:"callers" required:"yes" check:"address" doc:"address for requests to be forwarded"`
 	Ready     string `ini:"ready" required:"yes" check:"address" doc:"address that tells whether this instance serves"`
@@ -34,7 +34,7 @@
 	Metrics   string `ini:"metrics" check:"optional-address" doc:"address of the metrics; empty for none"`
 }
 
-// FrontStore says how to reach the platform's store.
+// FrontStore says how the platform's store is reached.
 type FrontStore struct {
 	Address string        `ini:"address" required:"yes" check:"address" doc:"address of the platform's store"`
 	Timeout time.Duration `ini:"timeout" default:"2500ms" min:"400ms" doc:"most time one call may take; a watch may take its wait besides. It is given up sooner while others can be asked"`
@@ -42,19 +42,21 @@
 	Readers int           `ini:"readers" default:"1" min:"1" doc:"instances of a region that ask the store; the others follow those"`
 }
 
-// watchShare of the bound on applying a change is how long a watch waits: a watch that hears nothing though there was a
-// change is followed by one that finds it, and an instance that falls silent is noticed half a second after its watch.
-const watchShare = 0.45
+// watchWaitShare is the share of Bounds.Apply that a watch waits by default. The rest leaves time
+// for a second watch, which finds a change that the first one missed, and for noticing a followed
+// instance that falls silent, which takes half a second after its watch.
+const watchWaitShare = 0.45
 
-// WatchWait is how long a watch waits.
+// WatchWait returns how long a watch waits: Store.Watch, or if that is 0 a share of Bounds.Apply,
+// at most a quarter of Bounds.Revoke.
 func (s *Front) WatchWait() time.Duration {
 	if s.Store.Watch > 0 {
 		return s.Store.Watch
 	}
-	return min(time.Duration(watchShare*float64(s.Bounds.Apply)), s.Bounds.Revoke/4)
+	return min(time.Duration(watchWaitShare*float64(s.Bounds.Apply)), s.Bounds.Revoke/4)
 }
 
-// FrontBounds are what the deployment asks for.
+// FrontBounds holds the limits that the deployment sets.
 type FrontBounds struct {
 	Revoke time.Duration `ini:"revoke" default:"5s" min:"100ms" doc:"a key that was taken away must not be served longer than this"`
 	Apply  time.Duration `ini:"apply" default:"2s" min:"100ms" doc:"a change of the configuration has to be in force within this"`
@@ -62,14 +64,15 @@
 	Keep   time.Duration `ini:"keep" default:"2s" min:"100ms" doc:"how long callers may keep an answer of the directory"`
 }
 
-// FrontRetries bounds what is sent once more.
+// FrontRetries bounds the number of retries.
 type FrontRetries struct {
 	Share   float64       `ini:"share" default:"0.2" min:"0" doc:"requests sent once more, per request"`
 	Reserve float64       `ini:"reserve" default:"50" min:"0" doc:"requests sent once more besides, shared by all instances"`
 	Window  time.Duration `ini:"window" default:"10s" min:"1s" doc:"time within which they are counted"`
 }
 
-// FrontRollouts bounds what a service's new build may get before it is known to be good. Both bounds 0: services are not moved.
+// FrontRollouts bounds the requests that a service's new build may get before it is known to be
+// good. Services are not moved if both Share and Reserve are 0.
 type FrontRollouts struct {
 	Share    float64       `ini:"share" default:"0" min:"0" doc:"requests of a service that a bad build may get, per request, until the order's deadline"`
 	Reserve  float64       `ini:"reserve" default:"0" min:"0" doc:"requests that it may get besides"`
@@ -84,14 +87,14 @@
 	Connect    time.Duration `ini:"connect" default:"120ms" min:"5ms" doc:"time a connection to an endpoint may take"`
 }
 
-// FrontProcess bounds the process.
+// FrontProcess holds the limits of the process and of its network link.
 type FrontProcess struct {
 	Memory int     `ini:"memory_mb" default:"256" min:"32" doc:"memory that the process may use, in MB"`
 	Link   float64 `ini:"link_mbps" default:"0" min:"0" doc:"bandwidth of the instance's network link in Mbit/s; those with the widest links pass the most on to others. 0 for unknown"`
 }
 
-// FrontMechanisms switch single mechanisms off, to find out what each is worth on a deployment. All of them are on
-// where nothing is said.
+// FrontMechanisms switch single mechanisms off, to measure the effect of each one on a deployment.
+// All of them are on by default.
 type FrontMechanisms struct {
 	Copies        bool `ini:"copies" default:"true" doc:"engines keep a copy of each stream's memory elsewhere"`
 	CopyElsewhere bool `ini:"copy_elsewhere" default:"true" doc:"that copy is kept in another data centre"`
@@ -111,12 +114,12 @@
 	Crashes       bool `ini:"crashes" default:"true" doc:"requests that end the endpoints that run them are stopped"`
 }
 
-// FrontLogs says how to log.
+// FrontLogs holds the settings of the log.
 type FrontLogs struct {
 	Level string `ini:"level" default:"info" check:"level" doc:"debug, info, warning or error"`
 }
 
-// contradictions checks keys against each other.
+// contradictions returns an error text for each pair of keys whose values exclude each other.
 func (s *Front) contradictions() []string {
 	var out []string
 	if 2*s.WatchWait() >= s.Bounds.Revoke {
--- a/gateway/settings/load.go
+++ b/gateway/settings/load.go
@@ -12,36 +12,38 @@
 	"gopkg.in/ini.v1"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	namespace = errorx.NewNamespace("settings")
-	// ErrInvalid: a key is unknown, missing or has a value that is not allowed. The text
-	// names section and key.
+	// ErrInvalid says that a key is unknown, is missing or has a value that is not allowed. The
+	// text names section and key of every problem in the file.
 	ErrInvalid = namespace.NewType("invalid")
-	// ErrUnreadable: the file can't be read or is no INI.
+	// ErrUnreadable says that the file can't be read or is not in INI format.
 	ErrUnreadable = namespace.NewType("unreadable")
 )
 
-// Load reads and checks a file.
+// Load reads and checks the daemon's settings from a file. It returns [ErrUnreadable] or
+// [ErrInvalid].
 func Load(file string) (*Settings, error) { return load[Settings](file) }
 
-// LoadFront reads and checks the settings of an instance that forwards.
+// LoadFront reads and checks the settings of an instance that forwards from a file. It returns
+// [ErrUnreadable] or [ErrInvalid].
 func LoadFront(file string) (*Front, error) { return load[Front](file) }
 
-// ParseFront is [LoadFront] from memory.
+// ParseFront is [LoadFront] on the text of a file.
 func ParseFront(text []byte) (*Front, error) { return load[Front](text) }
 
-// Parse reads and checks settings from memory.
+// Parse is [Load] on the text of a file.
 func Parse(text []byte) (*Settings, error) { return load[Settings](text) }
 
-// kind is a set of settings.
-type kind[T any] interface {
+// validator is a pointer to a settings struct that can check its keys against each other.
+type validator[T any] interface {
 	*T
-	// contradictions checks keys against each other.
+	// contradictions returns an error text for each pair of keys whose values exclude each other.
 	contradictions() []string
 }
 
-func load[T any, P kind[T]](source any) (*T, error) {
+func load[T any, P validator[T]](source any) (*T, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false}, source)
 	if err != nil {
 		return nil, ErrUnreadable.Wrap(err, "can't read the settings")
@@ -105,7 +107,7 @@
 	if err := parseInto(v, text); err != nil {
 		return err
 	}
-	if err := checkLeast(v, tag.Get("min")); err != nil {
+	if err := checkMin(v, tag.Get("min")); err != nil {
 		return err
 	}
 	if check := checks[tag.Get("check")]; check != nil {
@@ -160,22 +162,23 @@
 	return out
 }
 
-func checkLeast(v reflect.Value, least string) error {
-	if least == "" {
+func checkMin(v reflect.Value, minimum string) error {
+	if minimum == "" {
 		return nil
 	}
 	bound := reflect.New(v.Type()).Elem()
-	if err := parseInto(bound, least); err != nil {
+	if err := parseInto(bound, minimum); err != nil {
 		return err
 	}
 	tooSmall := v.CanInt() && v.Int() < bound.Int() || v.CanFloat() && !(v.Float() >= bound.Float())
 	if tooSmall {
-		return fmt.Errorf("must be at least %s", least)
+		return fmt.Errorf("must be at least %s", minimum)
 	}
 	return nil
 }
 
-// Print writes all keys with their defaults and meaning, as a file to start from.
+// Print writes all keys with their documentation and defaults in INI format. The output is a
+// template for a settings file.
 func Print(w io.Writer) { printAll(w, &Settings{}) }
 
 // PrintFront is [Print] for the settings of an instance that forwards.
--- a/gateway/settings/settings.go
+++ b/gateway/settings/settings.go
@@ -1,13 +1,17 @@
-// Package settings reads the daemon's settings from an INI file: every key typed, with a
-// default, a unit and a check whose error names section and key. Unknown sections and
-// keys are errors, so that a misspelled key is not silently ignored.
+// Package settings reads the daemon's settings from an INI file. Each key has a type, a default, a
+// unit and a check, given by struct tags. Errors name section and key, and all errors of a file are
+// reported together. Unknown sections and keys are errors, so that a misspelled key is not silently
+// ignored.
+//
+// [Settings] are the settings of the daemon that serves generations. [Front] are those of an
+// instance that forwards requests on a platform.
 package settings
 
 import (
 	"time"
 )
 
-// Settings are all settings of the daemon.
+// Settings holds all settings of the daemon.
 type Settings struct {
 	Instance  Instance  `ini:"instance"`
 	Platform  Platform  `ini:"platform"`
@@ -21,7 +25,7 @@
 	Traces    Traces    `ini:"traces"`
 }
 
-// Instance says who and where this process is.
+// Instance names this process, its location and its addresses.
 type Instance struct {
 	ID         string `ini:"id" required:"yes" doc:"name of this instance, unique in the fleet"`
 	DataCentre string `ini:"data_centre" required:"yes" doc:"data centre this instance runs in"`
@@ -30,7 +34,7 @@
 	Register   bool   `ini:"register" default:"true" doc:"name this instance in the platform's list; off where the platform lists its instances itself"`
 }
 
-// Platform says how to reach the platform's object API.
+// Platform says how the platform's object API is reached.
 type Platform struct {
 	URL      string        `ini:"url" required:"yes" check:"url" doc:"base URL of the platform's object API"`
 	Timeout  time.Duration `ini:"timeout" default:"2s" min:"10ms" doc:"time one call may take"`
@@ -39,14 +43,14 @@
 	Watchers int           `ini:"watchers" default:"2" min:"1" doc:"instances per data centre that watch the configuration; the others follow their peers"`
 }
 
-// Keys are the secrets that this instance shares with the fleet.
+// Keys holds the secrets that this instance shares with the fleet.
 type Keys struct {
 	Cursor   string `ini:"cursor" required:"yes" check:"secret" secret:"yes" doc:"signs cursors and tickets; the same on every instance, at least 16 characters"`
 	Peer     string `ini:"peer" required:"yes" check:"secret" secret:"yes" doc:"instances show it to each other; at least 16 characters"`
 	Operator string `ini:"operator_sha256" required:"yes" check:"sha256" doc:"SHA-256 of the operators' key, in hexadecimal"`
 }
 
-// Callers bounds what callers may do.
+// Callers holds the limits on callers and the times of a shutdown.
 type Callers struct {
 	BodyLimit     int           `ini:"body_limit" default:"1048576" min:"1" doc:"largest request body, in bytes"`
 	DeadlineMost  time.Duration `ini:"deadline_most" default:"15m" min:"1s" doc:"longest deadline a caller may ask for"`
@@ -58,7 +62,7 @@
 	DrainAnnounce time.Duration `ini:"drain_announce" default:"2s" min:"0s" doc:"how long a leaving instance still takes requests, while callers learn of it"`
 }
 
-// Endpoints says how back ends are watched and reached.
+// Endpoints says how endpoints are polled and reached, and bounds retries.
 type Endpoints struct {
 	Poll           time.Duration `ini:"poll" default:"500ms" min:"20ms" doc:"time between two reads of an endpoint's status"`
 	StatusTimeout  time.Duration `ini:"status_timeout" default:"500ms" min:"10ms" doc:"time a status read may take"`
@@ -69,7 +73,7 @@
 	RetryReserve   float64       `ini:"retry_reserve" default:"50" min:"0" doc:"retries allowed at once"`
 }
 
-// Recovery holds the defaults that a deployment's own recovery policy goes before.
+// Recovery holds the defaults for deployments that set no recovery policy of their own.
 type Recovery struct {
 	Policy            string        `ini:"policy" default:"latency" check:"policy" doc:"latency or frugal, for deployments that name none (restart and no-probe are baselines for measurements)"`
 	SilenceFactor     float64       `ini:"silence_factor" default:"5" min:"1" doc:"silence is this times the observed gap between tokens"`
@@ -82,7 +86,8 @@
 	MaxAttempts       int           `ini:"max_attempts" default:"12" min:"1" doc:"most attempts of one generation"`
 }
 
-// Peers says how instances keep in touch.
+// Peers holds the times of heartbeats between instances and of entries in the directory of
+// generations.
 type Peers struct {
 	Interval  time.Duration `ini:"interval" default:"500ms" min:"10ms" doc:"time between two heartbeats"`
 	Timeout   time.Duration `ini:"timeout" default:"300ms" min:"5ms" doc:"time a heartbeat may take"`
@@ -90,7 +95,7 @@
 	Directory time.Duration `ini:"directory_after" default:"1s" min:"0s" doc:"a generation without a key is entered in the directory after this time"`
 }
 
-// Tickets bounds the memory for calls that run at most once.
+// Tickets bounds the memory for the outcomes of calls that run at most once.
 type Tickets struct {
 	TTL      time.Duration `ini:"ttl" default:"10m" min:"1s" doc:"how long a ticket is valid and its outcome kept"`
 	Entries  int           `ini:"entries" default:"100000" min:"1" doc:"outcomes kept; beyond it new calls are refused as not run"`
@@ -99,13 +104,13 @@
 	BodyKept int           `ini:"body_kept" default:"65536" min:"0" doc:"largest response body that is kept, in bytes"`
 }
 
-// Logs says how to log.
+// Logs holds the settings of the log.
 type Logs struct {
 	Level  string `ini:"level" default:"info" check:"level" doc:"debug, info, warning or error"`
 	Format string `ini:"format" default:"text" check:"format" doc:"text or json"`
 }
 
-// Traces says where spans go.
+// Traces says where spans are exported to.
 type Traces struct {
 	Exporter string  `ini:"exporter" default:"none" check:"exporter" doc:"none or otlp"`
 	Endpoint string  `ini:"endpoint" doc:"URL of an OTLP/HTTP collector, for the exporter otlp"`
--- a/gateway/settings/settings_test.go
+++ b/gateway/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = `
+const validSettings = `
 [instance]
 id = entry-1
 data_centre = alm-hall-a
@@ -24,7 +24,7 @@
 `
 
 func TestDefaults(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Instance.Callers, "127.0.0.1:8080")
 	assert.Equal(t, s.Recovery.SilenceFloor, 200*time.Millisecond)
@@ -55,13 +55,13 @@
 		"[recovery]\nsilence_floor = 5s":     "[recovery] silence_floor: must not exceed silence_ceiling",
 		"[traces]\nexporter = otlp":          "[traces] endpoint: is required",
 	} {
-		_, err := Parse([]byte(good + change))
+		_, err := Parse([]byte(validSettings + change))
 		assert.Assert(t, errorx.IsOfType(err, ErrInvalid), "%q: %v", change, err)
 		assert.ErrorContains(t, err, want)
 	}
 }
 
-func TestAllProblemsAreNamedAtOnce(t *testing.T) {
+func TestAllErrorsAreReportedAtOnce(t *testing.T) {
 	_, err := Parse([]byte("[instance]\nid = x\n[logs]\nlevel = loud\n"))
 	for _, want := range []string{"[instance] data_centre", "[platform] url", "[keys] cursor", "[logs] level"} {
 		assert.ErrorContains(t, err, want)
@@ -75,24 +75,24 @@
 	assert.Assert(t, errorx.IsOfType(err, ErrUnreadable))
 }
 
-// TestPrintIsAFileToStartFrom parses what Print writes, with the required keys filled in.
-func TestPrintIsAFileToStartFrom(t *testing.T) {
+// TestPrintedSettingsParse parses what Print writes, with the required keys filled in.
+func TestPrintedSettingsParse(t *testing.T) {
 	var b bytes.Buffer
 	Print(&b)
 	text := b.String()
-	for line := range strings.Lines(good) {
+	for line := range strings.Lines(validSettings) {
 		if key, _, ok := strings.Cut(line, " = "); ok {
 			text = strings.Replace(text, "\n"+key+" = \n", "\n"+line, 1)
 		}
 	}
 	s, err := Parse([]byte(text))
 	assert.NilError(t, err)
-	want, err := Parse([]byte(good))
+	want, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, s, want)
 }
 
-// TestDocsHoldAllKeys keeps docs/SETTINGS.md in step with the code.
+// TestDocsHoldAllKeys checks that docs/SETTINGS.md holds the current output of Print.
 func TestDocsHoldAllKeys(t *testing.T) {
 	docs, err := os.ReadFile("../../docs/SETTINGS.md")
 	assert.NilError(t, err)
@@ -101,7 +101,7 @@
 	assert.Assert(t, strings.Contains(string(docs), b.String()), "run: agatewayd config print")
 }
 
-const goodFront = `
+const validFrontSettings = `
 [instance]
 id = f1
 data_centre = dc0
@@ -116,15 +116,16 @@
 `
 
 func TestFrontDefaults(t *testing.T) {
-	s, err := ParseFront([]byte(goodFront))
+	s, err := ParseFront([]byte(validFrontSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.WatchWait(), 900*time.Millisecond)
 	assert.Equal(t, s.Listen.Metrics, "")
 }
 
-// TestFrontErrorsAreToldAtOnce: every key that is wrong, missing or unknown, by its name.
-func TestFrontErrorsAreToldAtOnce(t *testing.T) {
-	text := strings.Replace(goodFront, "10.0.0.1:81", "ready.example:81", 1)
+// TestFrontErrorsAreReportedAtOnce checks that one error names every key that is wrong, missing or
+// unknown.
+func TestFrontErrorsAreReportedAtOnce(t *testing.T) {
+	text := strings.Replace(validFrontSettings, "10.0.0.1:81", "ready.example:81", 1)
 	text = strings.Replace(text, "region = r", "zone = r", 1)
 	_, err := ParseFront([]byte(text + "watch = 5s\n[stream]\n"))
 	assert.Assert(t, errorx.IsOfType(err, ErrInvalid))
