--- a/gateway/front/callers.go
+++ b/gateway/front/callers.go
@@ -17,43 +17,44 @@
 	"github.com/agateway/agateway/gateway/forward"
 )
 
-// callers serves requests to be forwarded. The limits on callers come with the configuration, so a
-// change of them takes a new server; connections that are open stay with the one before.
-type callers struct {
+// callerServers serves the requests of callers. The limits on callers come with the configuration,
+// and an [http.Server] can't change its limits while it runs. So a change of the limits starts a
+// new server for new connections; open connections stay with the server that accepted them.
+type callerServers struct {
 	handler  http.Handler
 	limits   func() route.Limits
 	listener net.Listener
 	log      *logrus.Entry
 
-	mu      sync.Mutex
-	current *http.Server
-	inForce route.Limits
-	conns   *queue
-	servers []*http.Server
+	mu              sync.Mutex
+	current         *http.Server
+	currentLimits   route.Limits
+	currentListener *connListener
+	servers         []*http.Server
 }
 
-// Limits before a configuration is known, and where it sets none.
+// Limits that apply until a configuration has been read, and where it sets none.
 const (
 	defaultHeaderBytes   = 64 << 10
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
-	// idleMargin is by how much an idle connection outlives its limit, so that a request that comes
-	// at the limit does not meet its close.
+	// idleMargin is added to the configured idle timeout, so that a request that a caller sends
+	// right at the limit does not meet a closed connection.
 	idleMargin = 500 * time.Millisecond
 )
 
-func newCallers(h *forward.Forwarder, c forward.Configuration, l net.Listener, entry *logrus.Entry) *callers {
+func newCallerServers(h *forward.Forwarder, c forward.Configuration, l net.Listener, entry *logrus.Entry) *callerServers {
 	limits := func() route.Limits {
 		if table, _ := c.Table(); table != nil {
 			return table.Limits()
 		}
 		return route.Limits{}
 	}
-	return &callers{handler: h, limits: limits, listener: l, log: entry}
+	return &callerServers{handler: h, limits: limits, listener: l, log: entry}
 }
 
 // run accepts connections until the listener is closed.
-func (c *callers) run() {
+func (c *callerServers) run() {
 	for {
 		conn, err := c.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -61,62 +62,63 @@
 		}
 		if err != nil {
 			c.log.WithError(err).Error("can't accept a connection")
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c.give(conn)
+		c.dispatch(conn)
 	}
 }
 
-// acceptPause keeps an instance without free descriptors from spinning.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay keeps an instance without free file descriptors from spinning.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// give hands a connection to the server of the limits in force.
-func (c *callers) give(conn net.Conn) {
+// dispatch hands a connection to the server with the current limits.
+func (c *callerServers) dispatch(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if limits := c.limits(); c.current == nil || limits != c.inForce {
-		c.renew(limits)
+	if limits := c.limits(); c.current == nil || limits != c.currentLimits {
+		c.replaceServer(limits)
 	}
-	c.conns.put(conn)
+	c.currentListener.deliver(conn)
 }
 
-func (c *callers) renew(l route.Limits) {
-	if c.conns != nil {
-		c.conns.end()
+func (c *callerServers) replaceServer(l route.Limits) {
+	if c.currentListener != nil {
+		c.currentListener.shut()
 	}
-	c.inForce, c.conns = l, newQueue(c.listener.Addr())
+	c.currentLimits, c.currentListener = l, newConnListener(c.listener.Addr())
 	c.current = &http.Server{
-		Handler: c.handler, MaxHeaderBytes: orInt(l.HeaderBytes, defaultHeaderBytes),
-		ReadHeaderTimeout: orDuration(l.HeaderTimeout, defaultHeaderTimeout),
-		IdleTimeout:       orDuration(l.IdleTimeout, defaultIdleTimeout) + idleMargin,
-		ErrorLog:          log.New(io.Discard, "", 0), // what callers do wrong is counted by status
+		Handler: c.handler, MaxHeaderBytes: intOrDefault(l.HeaderBytes, defaultHeaderBytes),
+		ReadHeaderTimeout: durationOrDefault(l.HeaderTimeout, defaultHeaderTimeout),
+		IdleTimeout:       durationOrDefault(l.IdleTimeout, defaultIdleTimeout) + idleMargin,
+		ErrorLog:          log.New(io.Discard, "", 0), // errors of callers are counted by status
 	}
 	c.servers = append(c.servers, c.current)
-	go func(s *http.Server, q *queue) { _ = s.Serve(q) }(c.current, c.conns) // ends with the queue
+	go func(s *http.Server, q *connListener) { _ = s.Serve(q) }(c.current, c.currentListener) // returns once the listener is closed
 }
 
-// stop takes no more connections.
-func (c *callers) stop() { _ = c.listener.Close() }
+// stopAccepting closes the listener for callers.
+func (c *callerServers) stopAccepting() { _ = c.listener.Close() }
 
-// shutdown takes no more connections, closes idle ones and waits for a time at the most until the answers of the others are written.
-func (c *callers) shutdown(most time.Duration) {
-	c.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), most)
+// shutdown accepts no more connections, closes idle ones and waits up to timeout until the answers
+// on the others are written.
+func (c *callerServers) shutdown(timeout time.Duration) {
+	c.stopAccepting()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	c.mu.Lock()
 	servers := slices.Clone(c.servers)
 	c.mu.Unlock()
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			c.log.WithError(err).Warn("connections were in use at the end")
+			c.log.WithError(err).Warn("connections were still in use at the end of the drain")
 		}
 	}
 }
 
-// close ends all connections.
-func (c *callers) close() {
-	c.stop()
+// close accepts no more connections and closes all that are open.
+func (c *callerServers) close() {
+	c.stopAccepting()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.servers {
@@ -124,33 +126,33 @@
 	}
 }
 
-func orInt(n, otherwise int) int {
+func intOrDefault(n, fallback int) int {
 	if n > 0 {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-func orDuration(d, otherwise time.Duration) time.Duration {
+func durationOrDefault(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
 
-// queue is a listener that is given its connections.
-type queue struct {
+// connListener is a [net.Listener] that accepts the connections given to deliver.
+type connListener struct {
 	address net.Addr
 	conns   chan net.Conn
 	closed  chan struct{}
 	once    sync.Once
 }
 
-func newQueue(address net.Addr) *queue {
-	return &queue{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
+func newConnListener(address net.Addr) *connListener {
+	return &connListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (q *queue) put(conn net.Conn) {
+func (q *connListener) deliver(conn net.Conn) {
 	select {
 	case q.conns <- conn:
 	case <-q.closed:
@@ -158,10 +160,10 @@
 	}
 }
 
-func (q *queue) end() { q.once.Do(func() { close(q.closed) }) }
+func (q *connListener) shut() { q.once.Do(func() { close(q.closed) }) }
 
 // Accept implements [net.Listener].
-func (q *queue) Accept() (net.Conn, error) {
+func (q *connListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-q.conns:
 		return conn, nil
@@ -171,10 +173,10 @@
 }
 
 // Close implements [net.Listener].
-func (q *queue) Close() error {
-	q.end()
+func (q *connListener) Close() error {
+	q.shut()
 	return nil
 }
 
 // Addr implements [net.Listener].
-func (q *queue) Addr() net.Addr { return q.address }
+func (q *connListener) Addr() net.Addr { return q.address }
--- a/gateway/front/configuration_test.go
+++ b/gateway/front/configuration_test.go
@@ -11,37 +11,39 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestWhoIsLetIn: routes and keys, from a configuration that is known to be in force.
-func TestWhoIsLetIn(t *testing.T) {
+// TestRoutesAndKeys checks which requests are served, and which are refused for their key (401) or
+// route (404), while the configuration is known to be the newest.
+func TestRoutesAndKeys(t *testing.T) {
 	run(t, 1, 1, 1, func(w *world) {
 		for name, c := range map[string]struct {
 			path, key, host string
 			status          int
 		}{
-			"key":             {"/ping/1", key, host, 200},
-			"no key":          {"/ping/1", "", host, 401},
-			"another key":     {"/ping/1", "stolen", host, 401},
-			"public, no key":  {"/open/1", "", host, 200},
-			"no route":        {"/none/1", key, host, 404},
-			"prefix's name":   {"/ping", key, host, 404},
-			"no host":         {"/ping/1", key, "other.example", 404},
-			"dots stay":       {"/ping/../x", key, host, 200},
-			"slashes stay":    {"/ping//x", key, host, 200},
-			"host with port":  {"/ping/1", key, host + ":80", 200},
-			"host upper case": {"/ping/1", key, strings.ToUpper(host), 200},
+			"key":             {"/ping/1", deskKey, routeHost, 200},
+			"no key":          {"/ping/1", "", routeHost, 401},
+			"another key":     {"/ping/1", "stolen", routeHost, 401},
+			"public, no key":  {"/open/1", "", routeHost, 200},
+			"no route":        {"/none/1", deskKey, routeHost, 404},
+			"prefix's name":   {"/ping", deskKey, routeHost, 404},
+			"no host":         {"/ping/1", deskKey, "other.example", 404},
+			"dots stay":       {"/ping/../x", deskKey, routeHost, 200},
+			"slashes stay":    {"/ping//x", deskKey, routeHost, 200},
+			"host with port":  {"/ping/1", deskKey, routeHost + ":80", 200},
+			"host upper case": {"/ping/1", deskKey, strings.ToUpper(routeHost), 200},
 		} {
-			r := ping()
+			r := pingRequest()
 			r.Path, r.Key, r.Host = c.path, c.key, c.host
-			a, err := w.do(0, r)
+			a, err := w.send(0, r)
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, c.status, name)
 		}
 	})
 }
 
-// TestKeysNeedFreshKnowledge: while the store is away, a key that may have been taken away meanwhile is
-// not served beyond its bound of 5 s; what needs no key is. When the store is back, all is served again.
-func TestKeysNeedFreshKnowledge(t *testing.T) {
+// TestKeysNeedFreshConfiguration checks that during an outage of the store no key is served beyond
+// its bound of 5 s, since it may have been revoked meanwhile. Requests that need no key are served
+// all the time. After the outage all requests are served again.
+func TestKeysNeedFreshConfiguration(t *testing.T) {
 	for _, outage := range []standin.Outage{standin.Busy, standin.Many, standin.Reset, standin.Silent} {
 		t.Run(string(outage), func(t *testing.T) {
 			run(t, 2, 1, 2, func(w *world) {
@@ -49,7 +51,7 @@
 				began := time.Now()
 				served := time.Duration(0)
 				for time.Since(began) < 8*time.Second {
-					a, err := w.do(0, ping())
+					a, err := w.send(0, pingRequest())
 					assert.NilError(t, err)
 					if a.Status == 200 {
 						served = time.Since(began)
@@ -61,32 +63,32 @@
 				}
 				assert.Assert(t, served > 2900*time.Millisecond && served < 4*time.Second, "%v", served)
 				assert.Assert(t, !w.isReady(0))
-				assert.Equal(t, len(w.entry(1)), 0)
-				open := ping()
+				assert.Equal(t, len(w.resolve(1)), 0)
+				open := pingRequest()
 				open.Path, open.Key = "/open/1", ""
-				a, err := w.do(0, open)
+				a, err := w.send(0, open)
 				assert.NilError(t, err)
 				assert.Equal(t, a.Status, 200)
-				unknown := ping()
+				unknown := pingRequest()
 				unknown.Key = "new"
-				a, err = w.do(0, unknown)
+				a, err = w.send(0, unknown)
 				assert.NilError(t, err)
 				assert.Equal(t, a.Status, 503, "it may be a new key")
 				w.store.SetFault(standin.Fault{})
 				time.Sleep(2500 * time.Millisecond)
-				a, err = w.do(0, ping())
+				a, err = w.send(0, pingRequest())
 				assert.NilError(t, err)
 				assert.Equal(t, a.Status, 200)
 				assert.Assert(t, w.isReady(0))
-				assert.Equal(t, len(w.entry(1)), 2)
+				assert.Equal(t, len(w.resolve(1)), 2)
 			})
 		})
 	}
 }
 
-// TestChangesAreInForce: routes and keys that come or go are in force within the bound, and no lower
-// version replaces a higher one.
-func TestChangesAreInForce(t *testing.T) {
+// TestConfigurationChangesTakeEffect checks that added and removed routes and keys take effect
+// within the bound, and that a lower version never replaces a higher one.
+func TestConfigurationChangesTakeEffect(t *testing.T) {
 	for name, before := range map[string]func(*world){
 		"calm":           func(*world) {},
 		"history gone":   func(w *world) { w.store.Forget() },
@@ -99,24 +101,24 @@
 				c := w.config
 				c.Version = 9
 				c.Teams = []route.Team{{Name: "desk", Keys: []string{"new-key"}}}
-				c.Routes = append([]route.Route{{Name: "new", Host: host, Prefix: "/new/", Targets: c.Routes[3].Targets, RetryPolicy: route.Idempotent, MaxAttempts: 2}}, c.Routes[1:]...)
+				c.Routes = append([]route.Route{{Name: "new", Host: routeHost, Prefix: "/new/", Targets: c.Routes[3].Targets, RetryPolicy: route.Idempotent, MaxAttempts: 2}}, c.Routes[1:]...)
 				w.store.PutConfiguration(&c)
 				time.Sleep(1500 * time.Millisecond)
 				old := w.config
 				old.Version = 8
-				w.store.PutConfiguration(&old) // of a writer that was overtaken
+				w.store.PutConfiguration(&old) // from a writer that was overtaken by another one
 				time.Sleep(1500 * time.Millisecond)
-				r := ping()
+				r := pingRequest()
 				r.Key, r.Path = "new-key", "/new/1"
-				a, err := w.do(1, r)
+				a, err := w.send(1, r)
 				assert.NilError(t, err)
 				assert.Equal(t, a.Status, 200)
-				a, err = w.do(1, ping())
+				a, err = w.send(1, pingRequest())
 				assert.NilError(t, err)
 				assert.Equal(t, a.Status, 401)
-				gone := brief("b1")
+				gone := briefRequest("b1")
 				gone.Key = "new-key"
-				a, err = w.do(1, gone)
+				a, err = w.send(1, gone)
 				assert.NilError(t, err)
 				assert.Equal(t, a.Status, 404)
 			})
--- a/gateway/front/crashes_faults_test.go
+++ b/gateway/front/crashes_faults_test.go
@@ -13,12 +13,12 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// stopped returns how many times an instance noted that a request was stopped.
-func (w *world) stopped() int { return strings.Count(w.logs.String(), `"msg":"request stopped"`) }
+// countStops returns how many log lines say that a request was stopped.
+func (w *world) countStops() int { return strings.Count(w.logs.String(), `"msg":"request stopped"`) }
 
-// steady sends streams of a team, each with a content of its own, one each while, at all instances in turn, until it
-// is told to end; it returns their answers.
-func (w *world) steady(team, name string, every time.Duration) (end func() []standin.Answer) {
+// sendSteadily sends streams of a team at a fixed interval to all instances in turn, each with
+// different content. The function that it returns ends the sending and returns all answers.
+func (w *world) sendSteadily(team, name string, every time.Duration) (end func() []standin.Answer) {
 	var mu sync.Mutex
 	var all []standin.Answer
 	var work sync.WaitGroup
@@ -31,9 +31,9 @@
 			case <-time.After(every):
 			}
 			work.Go(func() {
-				r := brief(fmt.Sprintf("%x", 0xc0000+i))
+				r := briefRequest(fmt.Sprintf("%x", 0xc0000+i))
 				r.Key, r.Body, r.Tokens = team, fmt.Sprint(name, " ", i), 2000
-				a, err := w.do(i%len(w.fronts), r)
+				a, err := w.send(i%len(w.fronts), r)
 				if err != nil {
 					a.Body = err.Error()
 				}
@@ -50,63 +50,65 @@
 	}
 }
 
-func served(answers []standin.Answer) int {
+func countServed(answers []standin.Answer) int {
 	n := 0
 	for i := range answers {
-		if answers[i].Status == http.StatusOK && answers[i].Whole && len(answers[i].Events) == events {
+		if answers[i].Status == http.StatusOK && answers[i].Whole && len(answers[i].Events) == streamEvents {
 			n++
 		}
 	}
 	return n
 }
 
-// TestBystandersAreServed: each engine that ends takes all its streams with it. They go on elsewhere, none of them is held
-// responsible, and all are served.
-func TestBystandersAreServed(t *testing.T) {
+// TestOtherStreamsSurviveCrashes guards against losing or blaming the streams that happen to run at
+// an engine that a fatal request crashes. They resume elsewhere, none of them is stopped, and all
+// are served.
+func TestOtherStreamsSurviveCrashes(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
-			end := w.steady(key, "bystander", 40*time.Millisecond)
-			time.Sleep(4 * time.Second) // some 85 are in progress
-			o.insist(fatalBrief(), 20, 700*time.Millisecond)
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
+			end := w.sendSteadily(deskKey, "bystander", 40*time.Millisecond)
+			time.Sleep(4 * time.Second) // about 85 streams are in progress
+			o.sendRepeatedly(fatalBrief(), 20, 700*time.Millisecond)
 			answers := end()
-			assert.Equal(w.t, served(answers), len(answers))
+			assert.Equal(w.t, countServed(answers), len(answers))
 			assert.Assert(w.t, len(answers) > 400)
-			assert.Equal(w.t, o.after(settle), 0)
-			assert.Equal(w.t, w.stopped(), len(w.fronts), "one request, at each instance")
+			assert.Equal(w.t, o.sendsAfterThirdCrash(detectionTime), 0)
+			assert.Equal(w.t, w.countStops(), len(w.fronts), "one request, at each instance")
 		})
 	})
 }
 
-// TestEngineEndsInPrefill: engines end while they read the prompt, before any answer begins, so that an end says less. Their
-// other requests have begun long ago, so this one is still found out within the settling time.
-func TestEngineEndsInPrefill(t *testing.T) {
+// TestCrashDuringPrefill lets a request crash engines during prefill, before any answer begins,
+// where a crash says less about its cause. The other requests at the engine have begun long before,
+// so the fatal one is still detected within the detection time.
+func TestCrashDuringPrefill(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{InPrefill: true}, func(o *outbreak) {
-			end := w.steady(key, "bystander", 40*time.Millisecond)
+		w.withFatalRequests(standin.Fatal{InPrefill: true}, func(o *crashWorld) {
+			end := w.sendSteadily(deskKey, "bystander", 40*time.Millisecond)
 			time.Sleep(4 * time.Second)
-			o.insist(fatalBrief(), 20, 700*time.Millisecond)
+			o.sendRepeatedly(fatalBrief(), 20, 700*time.Millisecond)
 			answers := end()
-			w.t.Logf("%d engines ended, %d of %d bystanders served", len(o.ended()), served(answers), len(answers))
-			assert.Assert(w.t, len(o.ended()) >= 3)
-			assert.Equal(w.t, o.after(settle), 0)
-			assert.Equal(w.t, w.stopped(), len(w.fronts))
+			w.t.Logf("%d engines ended, %d of %d bystanders served", len(o.crashes()), countServed(answers), len(answers))
+			assert.Assert(w.t, len(o.crashes()) >= 3)
+			assert.Equal(w.t, o.sendsAfterThirdCrash(detectionTime), 0)
+			assert.Equal(w.t, w.countStops(), len(w.fronts))
 		})
 	})
 }
 
-// TestRequestThatEndsPlainEndpoints: a plain service has endpoints that a request may end as well, also one that may run only
-// once and is tried at one endpoint by each attempt.
-func TestRequestThatEndsPlainEndpoints(t *testing.T) {
-	for name, r := range map[string]standin.Request{"once": logLift(), "idempotent": ping()} {
+// TestRequestThatCrashesPlainEndpoints checks that requests that crash plain endpoints are stopped
+// too, including those that may run only once and are tried at a single endpoint by each attempt.
+func TestRequestThatCrashesPlainEndpoints(t *testing.T) {
+	for name, r := range map[string]standin.Request{"once": logRequest(), "idempotent": pingRequest()} {
 		r.Path, r.Body, r.Method = strings.Replace(r.Path, "/1", "/2", 1), fatalBody, http.MethodPost
 		t.Run(name, func(t *testing.T) {
 			run(t, 9, 1, 12, func(w *world) {
-				w.outbreak(standin.Fatal{}, func(o *outbreak) {
-					o.insist(r, 20, 700*time.Millisecond)
-					w.t.Logf("%d endpoints ended", len(o.ended()))
-					assert.Assert(w.t, len(o.ended()) >= 3)
-					assert.Equal(w.t, o.after(settle), 0)
-					a, err := w.do(0, logLift())
+				w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
+					o.sendRepeatedly(r, 20, 700*time.Millisecond)
+					w.t.Logf("%d endpoints ended", len(o.crashes()))
+					assert.Assert(w.t, len(o.crashes()) >= 3)
+					assert.Equal(w.t, o.sendsAfterThirdCrash(detectionTime), 0)
+					a, err := w.send(0, logRequest())
 					assert.NilError(w.t, err)
 					assert.Equal(w.t, a.Status, http.StatusOK, a.Body)
 				})
@@ -115,18 +117,20 @@
 	}
 }
 
-// TestPopularRequestsAreNotStopped: the pattern is one request that many callers send at once, while a data centre loses all its
-// engines again and again. Some of its copies are at engines that end each time; others are served, so nobody stops it.
+// TestPopularRequestsAreNotStopped guards against stopping a request that many callers send at once
+// while a data centre loses all its engines again and again. Some of its copies run at an engine
+// that crashes each time. Others are served, so the request must not be stopped.
 func TestPopularRequestsAreNotStopped(t *testing.T) {
-	t.Run("engines crash", func(t *testing.T) { popularUnderLosses(t, (*world).crashEngine) })
-	t.Run("engines fall silent", func(t *testing.T) { popularUnderLosses(t, (*world).darken) })
+	t.Run("engines crash", func(t *testing.T) { testPopularRequestDuringLosses(t, (*world).crashEngine) })
+	t.Run("engines fall silent", func(t *testing.T) { testPopularRequestDuringLosses(t, (*world).silenceEngine) })
 }
 
-// popularUnderLosses loses the engines of a data centre in a way, again and again, under a popular request.
-func popularUnderLosses(t *testing.T, lose func(w *world, id string)) {
+// testPopularRequestDuringLosses loses the engines of a data centre with lose, again and again,
+// while many callers send the same request.
+func testPopularRequestDuringLosses(t *testing.T, lose func(w *world, id string)) {
 	const losses = 20
 	run(t, 9, 24, 1, func(w *world) {
-		popular := brief("b0b")
+		popular := briefRequest("b0b")
 		popular.Body, popular.Tokens = "what everybody asks", 2000
 		var work sync.WaitGroup
 		stop := make(chan struct{})
@@ -137,7 +141,7 @@
 					case <-stop:
 						return
 					default:
-						a, err := w.do((i+n)%len(w.fronts), popular)
+						a, err := w.send((i+n)%len(w.fronts), popular)
 						if err != nil || a.Status != http.StatusOK {
 							time.Sleep(100 * time.Millisecond)
 						}
@@ -154,61 +158,62 @@
 			w.net.SetCut(func(string, string) bool { return false })
 			for i := n % dataCentres; i < len(w.engines); i += dataCentres {
 				w.net.Crash(fmt.Sprint("e", i))
-				w.engines[i] = w.engine(i, fmt.Sprint("-", n))
+				w.engines[i] = w.newEngine(i, fmt.Sprint("-", n))
 			}
 		}
 		close(stop)
 		work.Wait()
-		assert.Equal(t, w.stopped(), 0)
+		assert.Equal(t, w.countStops(), 0)
 	})
 }
 
-// TestStopsOutlastAllInstances: all instances are killed at once, and know when they are back what had been stopped. The
-// store was away when it was, and came back before they died.
-func TestStopsOutlastAllInstances(t *testing.T) {
+// TestStopsSurviveRestartOfAll checks that all instances know after a restart which requests had
+// been stopped. The store was unreachable at the time of the stop and came back before the
+// instances were killed.
+func TestStopsSurviveRestartOfAll(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
 			w.store.SetFault(standin.Fault{Outage: standin.Silent})
-			o.insist(fatalBrief(), 3, 700*time.Millisecond)
-			assert.Equal(w.t, len(o.ended()), 3)
+			o.sendRepeatedly(fatalBrief(), 3, 700*time.Millisecond)
+			assert.Equal(w.t, len(o.crashes()), 3)
 			time.Sleep(2 * time.Second)
 			w.store.SetFault(standin.Fault{})
 			time.Sleep(6 * time.Second)
 			before := w.store.Counts().Writes
 			w.restartAll(500 * time.Millisecond)
 			time.Sleep(time.Second)
-			o.insist(fatalBrief(), 10, 700*time.Millisecond)
-			assert.Equal(w.t, len(o.ended()), 3)
-			assert.Equal(w.t, o.after(settle), 0)
-			assert.Equal(w.t, w.store.Counts().Writes, before, "it is written once")
+			o.sendRepeatedly(fatalBrief(), 10, 700*time.Millisecond)
+			assert.Equal(w.t, len(o.crashes()), 3)
+			assert.Equal(w.t, o.sendsAfterThirdCrash(detectionTime), 0)
+			assert.Equal(w.t, w.store.Counts().Writes, before, "a stop is written to the store once")
 		})
 	})
 }
 
-// TestLossOfAllBeforeTheStop: what is not decided yet is lost with all instances. It is found out anew, within the retries that are
-// allowed after the third end.
-func TestLossOfAllBeforeTheStop(t *testing.T) {
+// TestRestartOfAllBeforeStop checks that a fatal request that is not yet stopped when all instances
+// are killed is detected again, within the retries that are allowed after the third crash.
+func TestRestartOfAllBeforeStop(t *testing.T) {
 	const allowed = 3
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
-			for len(o.ended()) < 2 {
-				go func() { _, _ = o.do(0, fatalBrief()) }()
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
+			for len(o.crashes()) < 2 {
+				go func() { _, _ = o.send(0, fatalBrief()) }()
 				time.Sleep(600 * time.Millisecond)
 			}
 			w.restartAll(500 * time.Millisecond)
 			time.Sleep(time.Second)
-			o.insist(fatalBrief(), 15, 700*time.Millisecond)
-			w.t.Logf("%d engines ended, %d sends later than %v", len(o.ended()), o.after(settle), settle)
-			assert.Assert(w.t, o.after(settle) <= allowed, "%d", o.after(settle))
+			o.sendRepeatedly(fatalBrief(), 15, 700*time.Millisecond)
+			w.t.Logf("%d engines ended, %d sends later than %v", len(o.crashes()), o.sendsAfterThirdCrash(detectionTime), detectionTime)
+			assert.Assert(w.t, o.sendsAfterThirdCrash(detectionTime) <= allowed, "%d", o.sendsAfterThirdCrash(detectionTime))
 		})
 	})
 }
 
-// TestInstancesThatWereAway: one that starts after a stop, and those of a data centre that was cut off while it was decided,
-// know of it within the settling time.
-func TestInstancesThatWereAway(t *testing.T) {
+// TestReturningInstancesLearnOfStops checks that an instance that starts after a stop, and those of
+// a data centre that was cut off when it was decided, know of it within the detection time.
+func TestReturningInstancesLearnOfStops(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
 			away := func(node string) bool { return node == "f1" || node == "f4" || node == "f7" || node == "f8" }
 			w.net.SetCut(func(a, b string) bool {
 				return away(a) && strings.HasPrefix(b, "f") && !away(b) || away(b) && strings.HasPrefix(a, "f") && !away(a)
@@ -216,52 +221,53 @@
 			w.killFront(8)
 			time.Sleep(6 * time.Second)
 			for range 2 {
-				_, _ = o.do(0, fatalBrief())
+				_, _ = o.send(0, fatalBrief())
 			}
-			assert.Equal(w.t, len(o.ended()), 3)
+			assert.Equal(w.t, len(o.crashes()), 3)
 			w.net.SetCut(func(string, string) bool { return false })
-			w.fronts[8] = w.front(8)
-			time.Sleep(settle)
+			w.fronts[8] = w.newFront(8)
+			time.Sleep(detectionTime)
 			for i := range w.fronts {
-				a, err := o.do(i, fatalBrief())
+				a, err := o.send(i, fatalBrief())
 				assert.NilError(w.t, err)
 				assert.Equal(w.t, a.Status, http.StatusServiceUnavailable, "%d %s", i, a.Body)
 				assert.Assert(w.t, a.RetryAfter != "")
 			}
-			assert.Equal(w.t, len(o.ended()), 3)
+			assert.Equal(w.t, len(o.crashes()), 3)
 		})
 	})
 }
 
-// TestStoppedRequestIsTriedAgain: after its time a stopped request is tried once, at one engine, whoever asks for it; when it
-// does no harm any more it is served to all.
-func TestStoppedRequestIsTriedAgain(t *testing.T) {
+// TestStoppedRequestGetsTrials checks that a stopped request is tried once at one engine after a
+// while, whoever sends it, and is served to all once it no longer does harm.
+func TestStoppedRequestGetsTrials(t *testing.T) {
 	run(t, 3, 12, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
-			o.insist(fatalBrief(), 3, 700*time.Millisecond)
-			assert.Equal(w.t, len(o.ended()), 3)
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
+			o.sendRepeatedly(fatalBrief(), 3, 700*time.Millisecond)
+			assert.Equal(w.t, len(o.crashes()), 3)
 			began := time.Now()
 			for time.Since(began) < 12*time.Minute {
-				_, _ = o.do(int(time.Since(began)/time.Second)%3, fatalBrief())
+				_, _ = o.send(int(time.Since(began)/time.Second)%3, fatalBrief())
 				time.Sleep(7 * time.Second)
 			}
-			assert.Equal(w.t, len(o.ended()), 4, "one more in twelve minutes")
+			assert.Equal(w.t, len(o.crashes()), 4, "a stopped request has one trial in twelve minutes")
 			w.fleet.SetFatal(nil)
 			time.Sleep(20 * time.Minute)
 			for i := range w.fronts {
-				a, err := o.do(i, fatalBrief())
+				a, err := o.send(i, fatalBrief())
 				assert.NilError(w.t, err)
-				whole(w.t, a, "fa7a1", 0)
+				assertWhole(w.t, a, "fa7a1", 0)
 			}
 		})
 	})
 }
 
-// TestOperatorReleases: an operator sees at any instance what is stopped, and lets it go at all of them and in the store.
-func TestOperatorReleases(t *testing.T) {
+// TestOperatorReleasesRequest checks that an operator sees stopped requests at any instance, and
+// that a release takes effect at all instances and in the store.
+func TestOperatorReleasesRequest(t *testing.T) {
 	run(t, 3, 12, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
-			o.insist(fatalBrief(), 3, 700*time.Millisecond)
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
+			o.sendRepeatedly(fatalBrief(), 3, 700*time.Millisecond)
 			time.Sleep(time.Second)
 			s := w.fronts[1].State().Stopped
 			assert.Equal(w.t, len(s), 1)
@@ -279,9 +285,9 @@
 			assert.Equal(w.t, call().Status, http.StatusNoContent)
 			assert.Equal(w.t, call().Status, http.StatusNotFound)
 			time.Sleep(100 * time.Millisecond)
-			a, err := o.do(0, fatalBrief())
+			a, err := o.send(0, fatalBrief())
 			assert.NilError(w.t, err)
-			whole(w.t, a, "fa7a1", 0)
+			assertWhole(w.t, a, "fa7a1", 0)
 			w.restartAll(500 * time.Millisecond)
 			time.Sleep(2 * time.Second)
 			assert.Equal(w.t, len(w.fronts[0].State().Stopped), 0)
@@ -289,47 +295,48 @@
 	})
 }
 
-// TestManyRequestsOfOneTeam: a team sends hundreds of different requests that end engines. After some of them its next ones
-// are tried one at a time, and the streams of another team are served.
-func TestManyRequestsOfOneTeam(t *testing.T) {
+// TestManyFatalRequestsOfOneTeam lets a team send hundreds of different fatal requests. After some
+// of them its further requests are tried one at a time, and the streams of another team are served.
+func TestManyFatalRequestsOfOneTeam(t *testing.T) {
 	const different = 300
 	run(t, 9, 24, 1, func(w *world) {
 		fatal := standin.Fatal{Matches: func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }}
-		w.outbreak(fatal, func(o *outbreak) {
-			end := w.steady(keyOfField, "other", 100*time.Millisecond)
+		w.withFatalRequests(fatal, func(o *crashWorld) {
+			end := w.sendSteadily(fieldKey, "other", 100*time.Millisecond)
 			var work sync.WaitGroup
 			for n := range different {
 				time.Sleep(200 * time.Millisecond)
 				work.Go(func() {
 					r := fatalBrief()
 					r.Body, r.Prompt = fmt.Sprint(fatalBody, n), fmt.Sprintf("%x", 0xd0000+n)
-					_, _ = o.do(n%len(w.fronts), r)
+					_, _ = o.send(n%len(w.fronts), r)
 				})
 			}
 			work.Wait()
 			answers := end()
-			w.t.Logf("%d engines ended, %d of %d streams of the other team served", len(o.ended()), served(answers), len(answers))
-			assert.Assert(w.t, 100*served(answers) >= 98*len(answers), "%d of %d", served(answers), len(answers))
-			assert.Assert(w.t, len(o.ended()) < different, "%d", len(o.ended()))
+			w.t.Logf("%d engines ended, %d of %d streams of the other team served", len(o.crashes()), countServed(answers), len(answers))
+			assert.Assert(w.t, 100*countServed(answers) >= 98*len(answers), "%d of %d", countServed(answers), len(answers))
+			assert.Assert(w.t, len(o.crashes()) < different, "%d", len(o.crashes()))
 		})
 	})
 }
 
-// TestLargeBodiesAreRecognised: a body that is not all in memory is known by its beginning and its length.
-func TestLargeBodiesAreRecognised(t *testing.T) {
+// TestLargeFatalBodiesAreRecognised checks that a fatal request whose body is not held in memory as
+// a whole is recognised by the beginning and the length of the body.
+func TestLargeFatalBodiesAreRecognised(t *testing.T) {
 	const size = 300 << 10
 	run(t, 3, 12, 1, func(w *world) {
-		same := func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }
-		w.outbreak(standin.Fatal{Matches: same}, func(o *outbreak) {
+		hasFatalPrefix := func(r *standin.Run) bool { return strings.HasPrefix(r.Body, fatalBody) }
+		w.withFatalRequests(standin.Fatal{Matches: hasFatalPrefix}, func(o *crashWorld) {
 			r := fatalBrief()
 			r.Body = fatalBody + strings.Repeat("x", size)
-			o.insist(r, 10, 700*time.Millisecond)
-			w.t.Logf("%d engines ended", len(o.ended()))
-			assert.Assert(w.t, len(o.ended()) >= 3 && len(o.ended()) <= 6, "%d", len(o.ended()))
+			o.sendRepeatedly(r, 10, 700*time.Millisecond)
+			w.t.Logf("%d engines ended", len(o.crashes()))
+			assert.Assert(w.t, len(o.crashes()) >= 3 && len(o.crashes()) <= 6, "%d", len(o.crashes()))
 			r.Body = strings.Repeat("y", size)
-			a, err := w.do(0, r)
+			a, err := w.send(0, r)
 			assert.NilError(w.t, err)
-			whole(w.t, a, "fa7a1", 0)
+			assertWhole(w.t, a, "fa7a1", 0)
 		})
 	})
 }
--- a/gateway/front/crashes_test.go
+++ b/gateway/front/crashes_test.go
@@ -15,73 +15,74 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// fatalBody is the body of a request that ends each worker that begins to run it.
+// fatalBody is the body of a request that crashes each worker that begins to run it.
 const fatalBody = "ends whoever runs it"
 
-// outbreak makes some requests fatal, and records what that costs. A worker that ended is back under another id after
-// some seconds, and its old entry stays listed for as long.
-type outbreak struct {
+// crashWorld is a world in which some requests are fatal, and records the crashes. A crashed worker
+// restarts under another id after restartDelay, and its old entry stays listed for unlistDelay.
+type crashWorld struct {
 	*world
-	mu     sync.Mutex
-	ends   []time.Time
-	fatals map[string]*standin.Worker // all incarnations of all workers
-	number int
-	over   bool
-	// silent makes workers that end fall silent in place of closing their connections.
+	mu         sync.Mutex
+	crashTimes []time.Time
+	workers    map[string]*standin.Worker // all incarnations, by id
+	crashCount int
+	closed     bool
+	// silent makes workers fall silent instead of closing their connections.
 	silent bool
 	down   map[int]bool
 }
 
-// Times of a worker that ends, and the time within which all instances have to know.
+// Times of a crashing worker, and the time within which all instances have to detect a fatal
+// request.
 const (
-	fatalAfter  = 60 * time.Millisecond
-	backAfter   = 5 * time.Second
-	unlistAfter = 3 * time.Second
-	settle      = 3 * time.Second
-	settleLarge = 5 * time.Second
+	crashDelay         = 60 * time.Millisecond
+	restartDelay       = 5 * time.Second
+	unlistDelay        = 3 * time.Second
+	detectionTime      = 3 * time.Second
+	detectionTimeLarge = 5 * time.Second
 )
 
-// outbreak runs f while some requests are fatal.
-func (w *world) outbreak(fatal standin.Fatal, f func(*outbreak)) {
-	o := &outbreak{world: w, fatals: map[string]*standin.Worker{}, down: map[int]bool{}}
+// withFatalRequests runs f while some requests are fatal.
+func (w *world) withFatalRequests(fatal standin.Fatal, f func(*crashWorld)) {
+	o := &crashWorld{world: w, workers: map[string]*standin.Worker{}, down: map[int]bool{}}
 	for _, list := range [][]*standin.Worker{w.engines, w.plains} {
 		for _, e := range list {
-			o.fatals[e.Config().ID] = e
+			o.workers[e.Config().ID] = e
 		}
 	}
 	if fatal.Matches == nil {
 		fatal.Matches = func(r *standin.Run) bool { return r.Body == fatalBody }
 	}
-	fatal.After, fatal.End = fatalAfter, o.end
+	fatal.After, fatal.End = crashDelay, o.crashWorker
 	w.fleet.SetFatal(&fatal)
 	defer o.close()
 	f(o)
 }
 
-// close keeps workers that ended from coming back: their world is about to end.
-func (o *outbreak) close() {
+// close keeps crashed workers from restarting, since the world is about to be torn down.
+func (o *crashWorld) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.over = true
+	o.closed = true
 }
 
-// end ends a worker as a crash of its process does.
-func (o *outbreak) end(worker *standin.Worker) {
+// crashWorker ends a worker as a crash of its process does, and schedules its restart.
+func (o *crashWorld) crashWorker(worker *standin.Worker) {
 	cfg := worker.Config()
 	o.mu.Lock()
-	o.ends = append(o.ends, time.Now())
-	o.number++
-	number := o.number
+	o.crashTimes = append(o.crashTimes, time.Now())
+	o.crashCount++
+	number := o.crashCount
 	o.down[number] = true
 	o.mu.Unlock()
 	o.fleet.Remove(worker)
-	o.crash(o.nodeOf(cfg.Address), number)
-	time.AfterFunc(unlistAfter, func() { o.store.Remove(platform.KindEndpoint, cfg.ID) })
-	time.AfterFunc(backAfter, func() { o.back(cfg, number) })
+	o.disconnect(o.nodeOf(cfg.Address), number)
+	time.AfterFunc(unlistDelay, func() { o.store.Remove(platform.KindEndpoint, cfg.ID) })
+	time.AfterFunc(restartDelay, func() { o.restartWorker(cfg, number) })
 }
 
-// crash takes the connections of a worker's node away.
-func (o *outbreak) crash(node string, number int) {
+// disconnect closes the connections of a worker's node, or makes them silent.
+func (o *crashWorld) disconnect(node string, number int) {
 	if !o.silent {
 		go o.net.Crash(node)
 		return
@@ -93,23 +94,23 @@
 	})
 }
 
-// back starts a worker again at the address of one that ended.
-func (o *outbreak) back(cfg standin.WorkerConfig, number int) {
+// restartWorker starts a new worker at the address of one that crashed.
+func (o *crashWorld) restartWorker(cfg standin.WorkerConfig, number int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
+	if o.closed {
 		return
 	}
 	delete(o.down, number)
 	if o.silent {
-		o.net.Crash(o.nodeOf(cfg.Address)) // its old connections and listener
+		o.net.Crash(o.nodeOf(cfg.Address)) // ends its old connections and listener
 	}
-	next := o.worker(o.nodeOf(cfg.Address), fmt.Sprint("-", number), cfg)
-	o.fatals[next.Config().ID] = next
+	next := o.newWorker(o.nodeOf(cfg.Address), fmt.Sprint("-", number), cfg)
+	o.workers[next.Config().ID] = next
 }
 
-// nodeOf returns the node that listens at an address of a worker.
-func (o *outbreak) nodeOf(address string) string {
+// nodeOf returns the node of the worker with an address.
+func (o *crashWorld) nodeOf(address string) string {
 	for i, e := range o.engines {
 		if e.Config().Address == address {
 			return fmt.Sprint("e", i)
@@ -124,12 +125,12 @@
 	return ""
 }
 
-// sends returns when fatal requests arrived at workers.
-func (o *outbreak) sends() []time.Time {
+// fatalSendTimes returns the times at which fatal requests arrived at workers, sorted.
+func (o *crashWorld) fatalSendTimes() []time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []time.Time
-	for _, w := range o.fatals {
+	for _, w := range o.workers {
 		for _, r := range w.Runs() {
 			if r.Body == fatalBody {
 				out = append(out, r.At)
@@ -140,24 +141,28 @@
 	return out
 }
 
-func (o *outbreak) ended() []time.Time {
+func (o *crashWorld) crashes() []time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.Clone(o.ends)
+	return slices.Clone(o.crashTimes)
 }
 
-// after returns how many fatal requests arrived at workers later than a while after the third of them had ended one.
-func (o *outbreak) after(while time.Duration) int { return o.later(3, while) }
+// sendsAfterThirdCrash returns how many fatal requests arrived at workers more than delay after the
+// third crash.
+func (o *crashWorld) sendsAfterThirdCrash(delay time.Duration) int {
+	return o.sendsAfterCrash(3, delay)
+}
 
-// later does the same for the end with a number.
-func (o *outbreak) later(end int, while time.Duration) int {
-	ends := o.ended()
-	if len(ends) < end {
+// sendsAfterCrash returns how many fatal requests arrived at workers more than delay after a crash,
+// counted from 1.
+func (o *crashWorld) sendsAfterCrash(crash int, delay time.Duration) int {
+	crashes := o.crashes()
+	if len(crashes) < crash {
 		return 0
 	}
 	n := 0
-	for _, at := range o.sends() {
-		if at.Sub(ends[end-1]) > while {
+	for _, at := range o.fatalSendTimes() {
+		if at.Sub(crashes[crash-1]) > delay {
 			n++
 		}
 	}
@@ -165,20 +170,21 @@
 }
 
 func fatalBrief() standin.Request {
-	r := brief("fa7a1")
+	r := briefRequest("fa7a1")
 	r.Body = fatalBody
 	return r
 }
 
-// insist asks again and again, at any instance, and once more at once where that failed.
-func (o *outbreak) insist(r standin.Request, times int, every time.Duration) []standin.Answer {
+// sendRepeatedly sends a request at a fixed interval to changing instances, with one immediate
+// retry of each that fails, and returns all answers.
+func (o *crashWorld) sendRepeatedly(r standin.Request, times int, every time.Duration) []standin.Answer {
 	var mu sync.Mutex
 	var all []standin.Answer
 	var work sync.WaitGroup
 	for i := range times {
 		work.Go(func() {
 			for again := range 2 {
-				a, err := o.do((i*5+again)%len(o.fronts), r)
+				a, err := o.send((i*5+again)%len(o.fronts), r)
 				if err != nil {
 					a.Body = err.Error()
 				}
@@ -196,23 +202,24 @@
 	return all
 }
 
-// TestRequestThatEndsEngines: one request ended 76 of 24 engines' incarnations in 40 s. An engine ends 60 ms after it has begun to
-// answer, is back after 5 s, and the request comes again at any instance, from callers that ask once more. Each attempt of
-// a caller began with nothing known and had up to five engines; nothing told that the engines had ended under the same
-// request. The logs showed the same content at each engine that was lost, and no engine lost without it.
-// What is asked: none of these requests reaches an engine later than the settling time after the third engine ended.
-func TestRequestThatEndsEngines(t *testing.T) {
+// TestRequestThatCrashesEngines guards against a request that crashes every engine that runs it:
+// one request caused 76 crashes among 24 engines in 40 s. The engine crashes 60 ms after it begins
+// to answer and is back after 5 s, and callers send the request again to any instance. Each attempt
+// began without knowledge of the earlier ones and used up to five engines, since nothing recorded
+// that the engines had crashed under the same request.
+// The request must not reach an engine later than detectionTime after the third crash.
+func TestRequestThatCrashesEngines(t *testing.T) {
 	for _, c := range []struct {
 		fronts, engines int
-		settle          time.Duration
-	}{{9, 24, settle}, {90, 90, settleLarge}} {
+		detectionTime   time.Duration
+	}{{9, 24, detectionTime}, {90, 90, detectionTimeLarge}} {
 		t.Run(fmt.Sprint(c.fronts), func(t *testing.T) {
 			run(t, c.fronts, c.engines, 1, func(w *world) {
-				w.outbreak(standin.Fatal{}, func(o *outbreak) {
-					answers := o.insist(fatalBrief(), 30, 700*time.Millisecond)
-					assert.Assert(w.t, len(o.ended()) >= 3)
-					w.t.Logf("%d engines ended, %d sends", len(o.ended()), len(o.sends()))
-					assert.Equal(w.t, o.after(c.settle), 0, "requests that reached engines too late")
+				w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
+					answers := o.sendRepeatedly(fatalBrief(), 30, 700*time.Millisecond)
+					assert.Assert(w.t, len(o.crashes()) >= 3)
+					w.t.Logf("%d engines ended, %d sends", len(o.crashes()), len(o.fatalSendTimes()))
+					assert.Equal(w.t, o.sendsAfterThirdCrash(c.detectionTime), 0, "fatal requests reached engines after the detection time")
 					for _, a := range answers {
 						assert.Assert(w.t, a.Status == http.StatusBadGateway || a.Status == http.StatusServiceUnavailable, "%d %s", a.Status, a.Body)
 					}
@@ -222,24 +229,25 @@
 	}
 }
 
-// TestRequestThatEndsEnginesLate: a request ends its engine after 1.5 s of its answer. A stream that had run for a second was cleared, and
-// its later engines were not looked at, so each attempt of a caller had five engines again.
-func TestRequestThatEndsEnginesLate(t *testing.T) {
-	const late = 5 // endpoints that may end late under a request before it is known
+// TestRequestThatCrashesEnginesLate lets a request crash its engine after 1.5 s of the answer. A
+// stream that had run for a second was cleared of suspicion, and its later engines were not
+// considered, so each attempt of a caller used five engines again.
+func TestRequestThatCrashesEnginesLate(t *testing.T) {
+	const late = 5 // crashes late in the answer that are allowed before the request is detected
 	for _, c := range []struct {
 		times int
 		every time.Duration
 	}{{30, 700 * time.Millisecond}, {8, 6 * time.Second}} {
 		t.Run(fmt.Sprint("each ", c.every), func(t *testing.T) {
 			run(t, 9, 24, 1, func(w *world) {
-				w.outbreak(standin.Fatal{AfterEvents: 30}, func(o *outbreak) {
+				w.withFatalRequests(standin.Fatal{AfterEvents: 30}, func(o *crashWorld) {
 					const pace = 400 * time.Millisecond
-					bystanders := o.bystanders(int(time.Duration(c.times)*c.every/pace), pace)
-					o.insist(fatalBrief(), c.times, c.every)
-					o.t.Logf("%d engines ended, %d sends", len(o.ended()), len(o.sends()))
-					assert.Check(o.t, is.Equal(o.later(late, settle), 0), "requests that reached engines too late")
-					for i := range bystanders {
-						whole(o.t, <-bystanders[i], fmt.Sprintf("b%x", i), 0)
+					streams := o.harmlessStreams(int(time.Duration(c.times)*c.every/pace), pace)
+					o.sendRepeatedly(fatalBrief(), c.times, c.every)
+					o.t.Logf("%d engines ended, %d sends", len(o.crashes()), len(o.fatalSendTimes()))
+					assert.Check(o.t, is.Equal(o.sendsAfterCrash(late, detectionTime), 0), "fatal requests reached engines after the detection time")
+					for i := range streams {
+						assertWhole(o.t, <-streams[i], fmt.Sprintf("b%x", i), 0)
 					}
 				})
 			})
@@ -247,24 +255,25 @@
 	}
 }
 
-// bystanders asks for streams that harm nobody, one after the other at all instances.
-func (o *outbreak) bystanders(n int, every time.Duration) []chan standin.Answer {
+// harmlessStreams sends streams that crash nothing, one after the other to all instances in turn.
+func (o *crashWorld) harmlessStreams(n int, every time.Duration) []chan standin.Answer {
 	out := make([]chan standin.Answer, n)
 	for i := range out {
 		out[i] = make(chan standin.Answer, 1)
-		time.AfterFunc(time.Duration(i)*every, func() { out[i] <- <-o.stream(i%len(o.fronts), brief(fmt.Sprintf("b%x", i))) })
+		time.AfterFunc(time.Duration(i)*every, func() { out[i] <- <-o.startStream(i%len(o.fronts), briefRequest(fmt.Sprintf("b%x", i))) })
 	}
 	return out
 }
 
-// TestRequestThatSilencesEngines: the engines that begin a request fall silent, and connections to them hang.
+// TestRequestThatSilencesEngines lets the engines that begin a request fall silent, so that
+// connections to them hang instead of being closed.
 func TestRequestThatSilencesEngines(t *testing.T) {
 	run(t, 9, 24, 1, func(w *world) {
-		w.outbreak(standin.Fatal{}, func(o *outbreak) {
+		w.withFatalRequests(standin.Fatal{}, func(o *crashWorld) {
 			o.silent = true
-			o.insist(fatalBrief(), 30, 700*time.Millisecond)
-			o.t.Logf("%d engines fell silent, %d sends", len(o.ended()), len(o.sends()))
-			assert.Check(o.t, is.Equal(o.after(settle), 0), "requests that reached engines too late")
+			o.sendRepeatedly(fatalBrief(), 30, 700*time.Millisecond)
+			o.t.Logf("%d engines fell silent, %d sends", len(o.crashes()), len(o.fatalSendTimes()))
+			assert.Check(o.t, is.Equal(o.sendsAfterThirdCrash(detectionTime), 0), "fatal requests reached engines after the detection time")
 		})
 	})
 }
--- a/gateway/front/drain.go
+++ b/gateway/front/drain.go
@@ -8,69 +8,73 @@
 
 // Times of a graceful shutdown.
 const (
-	// drainMargin is by how much longer a leaving instance takes requests than callers keep its address.
-	drainMargin = 500 * time.Millisecond
-	// drainQuiet is how long no request may have been in progress before the process ends.
-	drainQuiet = 300 * time.Millisecond
-	// drainStep is how often that is looked at.
-	drainStep = 20 * time.Millisecond
-	// drainSpare is what is left of the grace when requests are ended by force, drainAnswers the part of it in which their answers are
-	// written.
-	drainSpare   = 300 * time.Millisecond
-	drainAnswers = 200 * time.Millisecond
+	// directoryExpiryMargin is how much longer than Bounds.Keep, for which callers may keep its
+	// address, a leaving instance accepts requests.
+	directoryExpiryMargin = 500 * time.Millisecond
+	// drainIdleTime is how long no request may have been in progress before a drain ends.
+	drainIdleTime = 300 * time.Millisecond
+	// drainPollInterval is the time between two checks of the number of requests in progress.
+	drainPollInterval = 20 * time.Millisecond
+	// forcedEndReserve is the part of Bounds.Grace that is left when requests in progress are ended
+	// by force. forcedEndAnswerTimeout is the part of it in which their answers are written.
+	forcedEndReserve       = 300 * time.Millisecond
+	forcedEndAnswerTimeout = 200 * time.Millisecond
 )
 
-// Drain shuts down gracefully: the instance is not ready and out of the directory at once, and requests that still come are served,
-// each with the word that its connection closes. It ends when none is left, or when the grace is nearly over. Requests in progress are
-// told so then.
+// Drain shuts the instance down gracefully and returns when it has ended. The instance reports not
+// ready and leaves the directory at once. Requests that still arrive are served, and each answer
+// says that its connection closes. Those that may not end in time are refused. The drain ends when
+// callers no longer keep the address and no request is in progress, or forcedEndReserve before
+// Bounds.Grace is over. Requests in progress at that time are ended, and their callers are told so.
 func (f *Front) Drain() {
 	log := f.telemetry.Log
 	began := time.Now()
-	until := began.Add(f.settings.Bounds.Grace - drainSpare)
+	until := began.Add(f.settings.Bounds.Grace - forcedEndReserve)
 	log.WithField("open", f.forwarder.Open()).Info("stopping")
 	f.draining.Store(true)
 	f.forwarder.Drain(until)
 	f.exchange.Now()
-	f.awaitQuiet(began, until)
-	f.forwarder.Refuse() // before the last look at what is open
-	f.awaitNone(until)
+	f.awaitIdle(began, until)
+	f.forwarder.Refuse() // no request may start after the last check for open ones
+	f.awaitNoRequests(until)
 	open := f.forwarder.Open()
 	f.forwarder.End()
-	f.callers.shutdown(drainAnswers)
+	f.callers.shutdown(forcedEndAnswerTimeout)
 	log.WithFields(logrus.Fields{"open": open, "took_ms": time.Since(began).Milliseconds()}).Info("stopped")
 	f.Close()
 }
 
-// awaitQuiet waits until callers know that the instance leaves and no request has been in progress for a while.
-func (f *Front) awaitQuiet(began, until time.Time) {
-	least := began.Add(f.settings.Bounds.Keep + drainMargin)
-	quietSince := began
+// awaitIdle waits until no caller may still keep the address of the instance and no request has
+// been in progress for drainIdleTime, at most until the given time.
+func (f *Front) awaitIdle(began, until time.Time) {
+	earliest := began.Add(f.settings.Bounds.Keep + directoryExpiryMargin)
+	idleSince := began
 	for now := began; now.Before(until); now = time.Now() {
 		if f.forwarder.Open() > 0 {
-			quietSince = now
+			idleSince = now
 		}
-		if now.After(least) && now.Sub(quietSince) >= drainQuiet {
+		if now.After(earliest) && now.Sub(idleSince) >= drainIdleTime {
 			return
 		}
-		time.Sleep(drainStep)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// awaitNone waits until no request is in progress.
-func (f *Front) awaitNone(until time.Time) {
+// awaitNoRequests waits until no request is in progress, at most until the given time.
+func (f *Front) awaitNoRequests(until time.Time) {
 	for f.forwarder.Open() > 0 && time.Now().Before(until) {
-		time.Sleep(drainStep)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// Close ends the instance at once.
+// Close ends the instance at once, with all connections.
 func (f *Front) Close() {
 	f.cancel()
 	f.callers.close()
 	for _, s := range f.servers {
 		_ = s.Close()
 	}
-	f.work.Wait()
+	f.goroutines.Wait()
 	f.telemetry.Close()
-	f.output.Close()
+	f.logWriter.Close()
 }
--- a/gateway/front/stopping_test.go
+++ b/gateway/front/drain_test.go
@@ -16,35 +16,36 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestStopping: not ready and out of the directory at once; what is in progress ends, what still comes
-// is served with the word that the connection closes, and streams that could not end are refused.
-func TestStopping(t *testing.T) {
+// TestDrain checks that a draining instance is not ready and out of the directory at once. Requests
+// in progress end, new ones are served with the header that closes their connection, and streams
+// that could not end in time are refused.
+func TestDrain(t *testing.T) {
 	run(t, 2, 6, 1, func(w *world) {
-		got := w.stream(0, brief("b1"))
+		got := w.startStream(0, briefRequest("b1"))
 		time.Sleep(time.Second)
 		done := make(chan struct{})
 		go func() { defer close(done); w.fronts[0].Drain() }()
 		time.Sleep(50 * time.Millisecond)
 		assert.Assert(t, !w.isReady(0))
-		assert.DeepEqual(t, w.entry(1), []string{frontAddress(1)})
-		a, err := w.do(0, ping())
+		assert.DeepEqual(t, w.resolve(1), []string{frontAddress(1)})
+		a, err := w.send(0, pingRequest())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
 		assert.Assert(t, a.Closes)
 		time.Sleep(1500 * time.Millisecond)
-		a, err = w.do(0, brief("b2"))
+		a, err = w.send(0, briefRequest("b2"))
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, http.StatusServiceUnavailable)
 		assert.Assert(t, a.RetryAfter != "")
-		whole(t, <-got, "b1", 0)
+		assertWhole(t, <-got, "b1", 0)
 		<-done
 		w.fronts[0] = nil
 	})
 }
 
-// TestStoppingWithCallersThatKeepComing: an instance that ends its drain by force cuts no request. Those for which too little
-// time is left are refused as not run.
-func TestStoppingWithCallersThatKeepComing(t *testing.T) {
+// TestDrainUnderContinuousLoad checks that an instance cuts no request when its drain ends by
+// force. Requests for which too little time is left are refused as not run.
+func TestDrainUnderContinuousLoad(t *testing.T) {
 	run(t, 2, 1, 2, func(w *world) {
 		served, refused := w.callWhileDraining(7 * time.Millisecond)
 		assert.Assert(t, served > 100, "%d", served)
@@ -52,13 +53,14 @@
 	})
 }
 
-// callWhileDraining drains an instance while calls that must not be repeated come at an even pace, and checks what becomes of each.
+// callWhileDraining drains an instance while calls that must not be repeated arrive at a constant
+// rate, and checks the outcome of each.
 func (w *world) callWhileDraining(pace time.Duration) (served, refused int) {
 	var callers sync.WaitGroup
 	done := make(chan struct{})
 	go func() { defer close(done); w.fronts[0].Drain() }()
 	for ended := false; !ended; {
-		callers.Go(func() { w.leaving(logLift(), &served, &refused) })
+		callers.Go(func() { w.sendWhileDraining(logRequest(), &served, &refused) })
 		select {
 		case <-done:
 			ended = true
@@ -70,10 +72,11 @@
 	return served, refused
 }
 
-// leaving sends a request to an instance that drains: it is served, refused as not run, or not accepted any more.
-func (w *world) leaving(r standin.Request, served, refused *int) {
-	r.ID = w.id()
-	a, err := w.do(0, r)
+// sendWhileDraining sends a request to a draining instance. It may be served, refused as not run,
+// or not accepted at all.
+func (w *world) sendWhileDraining(r standin.Request, served, refused *int) {
+	r.ID = w.newRequestID()
+	a, err := w.send(0, r)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -89,9 +92,9 @@
 	}
 }
 
-// TestStoppingWithSlowEndpoints: requests that take longer than a quarter of the grace are not cut when an instance ends its drain by
-// force.
-func TestStoppingWithSlowEndpoints(t *testing.T) {
+// TestDrainWithSlowEndpoints guards against cutting requests that take longer than a quarter of the
+// grace time when a drain ends by force.
+func TestDrainWithSlowEndpoints(t *testing.T) {
 	for _, c := range []struct{ grace, timeout, work time.Duration }{
 		{8 * time.Second, 3 * time.Second, 2400 * time.Millisecond},
 		{4 * time.Second, 1500 * time.Millisecond, 1400 * time.Millisecond},
@@ -102,7 +105,7 @@
 		t.Run(fmt.Sprint(c.grace, c.timeout, c.work), func(t *testing.T) {
 			runWith(t, 2, 1, 12, func(w *world) {
 				w.settings, w.plainWork = fmt.Sprintf("[bounds]\ngrace = %v\n", c.grace), c.work
-				w.config.Routes[routeLog].Timeout = c.timeout
+				w.config.Routes[logRouteIndex].Timeout = c.timeout
 			}, func(w *world) {
 				served, refused := w.callWhileDraining(70 * time.Millisecond)
 				t.Logf("%d served, %d refused", served, refused)
@@ -112,26 +115,26 @@
 	}
 }
 
-// TestForcedEnd: callers whose requests are in progress when the grace is over are told what became of them. A stream with events
-// breaks off visibly and goes on at another instance.
-func TestForcedEnd(t *testing.T) {
+// TestForcedShutdown checks that callers whose requests are in progress when the grace time is over
+// are told the outcome. A stream with events breaks off visibly and resumes at another instance.
+func TestForcedShutdown(t *testing.T) {
 	runWith(t, 2, 6, 2, func(w *world) {
 		w.settings, w.plainWork = "[bounds]\ngrace = 2s\n", 10*time.Second
-		w.config.Routes[routeLog].Timeout = 0
+		w.config.Routes[logRouteIndex].Timeout = 0
 	}, func(w *world) {
-		streaming := w.stream(0, brief("b1"))
+		streaming := w.startStream(0, briefRequest("b1"))
 		time.Sleep(1500 * time.Millisecond)
-		part := logLift()
-		part.Method, part.Host, part.ID, part.Wait = http.MethodPost, host, "51", 0
+		part := logRequest()
+		part.Method, part.Host, part.ID, part.Wait = http.MethodPost, routeHost, "51", 0
 		text := part.Text()
-		slow := w.sendPart(0, text[:len(text)-1])
-		head := w.sendPart(0, text[:10])
-		call := logLift()
+		slow := w.sendPartialRequest(0, text[:len(text)-1])
+		head := w.sendPartialRequest(0, text[:10])
+		call := logRequest()
 		call.Wait = 0
-		calling := w.stream(0, call)
-		unread := brief("b2")
-		unread.Tokens = 3 * promptSize
-		reading := w.stream(0, unread)
+		calling := w.startStream(0, call)
+		unread := briefRequest("b2")
+		unread.Tokens = 3 * promptTokens
+		reading := w.startStream(0, unread)
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		w.fronts[0].Drain()
@@ -143,19 +146,20 @@
 		}
 		assert.Check(t, is.Equal(<-slow, http.StatusRequestTimeout))
 		assert.Check(t, is.Equal(<-head, 0))
-		assert.Equal(t, w.plainRuns("51"), 0)
+		assert.Equal(t, w.plainRunCount("51"), 0)
 		a := <-streaming
 		assert.Assert(t, !a.Whole && len(a.Events) > 0, "%+v", a)
-		rest := brief("b1")
+		rest := briefRequest("b1")
 		rest.LastEvent = len(a.Events)
-		b, err := w.do(1, rest)
+		b, err := w.send(1, rest)
 		assert.NilError(t, err)
-		whole(t, b, "b1", rest.LastEvent)
+		assertWhole(t, b, "b1", rest.LastEvent)
 	})
 }
 
-// sendPart sends a part of a request, and returns the channel on which the status of the answer comes, 0 for none.
-func (w *world) sendPart(i int, text string) chan int {
+// sendPartialRequest sends a part of a request. It returns a channel for the status of the answer,
+// which is closed without a value if there is no answer.
+func (w *world) sendPartialRequest(i int, text string) chan int {
 	conn, err := w.net.Node("caller").Dial(context.Background(), "tcp", frontAddress(i))
 	assert.NilError(w.t, err)
 	_, err = io.WriteString(conn, text)
--- a/gateway/front/endpoints_test.go
+++ b/gateway/front/endpoints_test.go
@@ -13,8 +13,8 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestLeavingEndpointsGetNoNewWork: within the bound of 2 s from the store's word, whether the endpoint
-// says that it leaves or its entry is removed.
+// TestLeavingEndpointsGetNoNewWork checks that an endpoint gets no new requests within the bound of
+// 2 s after the store says that it leaves, or after its entry is removed.
 func TestLeavingEndpointsGetNoNewWork(t *testing.T) {
 	for name, leave := range map[string]func(*world){
 		"says so": func(w *world) {
@@ -27,7 +27,7 @@
 				leave(w)
 				left := time.Now()
 				for time.Since(left) < 4*time.Second {
-					a, err := w.do(0, ping())
+					a, err := w.send(0, pingRequest())
 					assert.NilError(t, err)
 					assert.Equal(t, a.Status, 200)
 				}
@@ -39,22 +39,23 @@
 	}
 }
 
-// TestAnEngineThatStartsAgain: under the name that it had. It is called by that name, nothing is believed of it that was
-// true of the one before, and a stream that the one before ran goes on from its copy.
-func TestAnEngineThatStartsAgain(t *testing.T) {
+// TestEngineRestartsUnderSameName checks an engine that restarts under the name that it had.
+// Instances call it by that name, carry nothing over that they knew of the previous process, and
+// resume a stream of the previous process from its copy.
+func TestEngineRestartsUnderSameName(t *testing.T) {
 	run(t, 2, 2, 0, func(w *world) {
-		answer := w.stream(0, brief("aa"))
+		answer := w.startStream(0, briefRequest("aa"))
 		time.Sleep(2 * time.Second)
-		id, _ := w.serving()
+		id, _ := w.streamEngines()
 		w.crashEngine(id)
 		time.Sleep(50 * time.Millisecond)
 		for i, e := range w.engines {
 			if cfg := e.Config(); cfg.ID == id {
 				cfg.Born = time.Now().UnixMilli()
-				w.engines = append(w.engines, w.worker(fmt.Sprint("e", i), strings.TrimPrefix(id, fmt.Sprint("i-e", i)), cfg))
+				w.engines = append(w.engines, w.newWorker(fmt.Sprint("e", i), strings.TrimPrefix(id, fmt.Sprint("i-e", i)), cfg))
 			}
 		}
-		whole(t, <-answer, "aa", 0)
+		assertWhole(t, <-answer, "aa", 0)
 		time.Sleep(time.Second)
 		for i, f := range w.fronts {
 			named := 0
@@ -66,8 +67,8 @@
 			}
 			assert.Equal(t, named, 1)
 		}
-		for i := range 4 { // also at the one that started again: none of them is refused
-			whole(t, <-w.stream(i%2, brief(fmt.Sprint("b", i))), fmt.Sprint("b", i), 0)
+		for i := range 4 { // the restarted engine refuses none of them
+			assertWhole(t, <-w.startStream(i%2, briefRequest(fmt.Sprint("b", i))), fmt.Sprint("b", i), 0)
 		}
 		for _, e := range w.engines {
 			assert.Equal(t, e.Refused(), 0)
@@ -75,9 +76,9 @@
 	})
 }
 
-// TestAddressUsedAgain: another endpoint has the address; what was meant for the first one does not run
-// there, and goes elsewhere.
-func TestAddressUsedAgain(t *testing.T) {
+// TestAddressReuse lets another endpoint take over an address. A request for the first endpoint
+// must not run there, and is served elsewhere.
+func TestAddressReuse(t *testing.T) {
 	run(t, 1, 1, 2, func(w *world) {
 		first := w.plains[0].Config()
 		w.net.Crash("p0")
@@ -90,7 +91,7 @@
 		assert.NilError(t, err)
 		w.stops = append(w.stops, standin.Serve(l, worker))
 		for range 10 {
-			a, err := w.do(0, logLift())
+			a, err := w.send(0, logRequest())
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, 200)
 		}
@@ -99,9 +100,9 @@
 	})
 }
 
-// TestLapsedEntries: the store was away for so long that entries lapsed. They count until two seconds
-// after its return; those that are not back by then are gone.
-func TestLapsedEntries(t *testing.T) {
+// TestExpiredEntries checks entries that expired during an outage of the store. They stay in use
+// until two seconds after its return; those that are not listed again by then are dropped.
+func TestExpiredEntries(t *testing.T) {
 	run(t, 1, 1, 2, func(w *world) {
 		w.store.SetFault(standin.Fault{Outage: standin.Reset})
 		time.Sleep(2500 * time.Millisecond)
@@ -110,14 +111,14 @@
 		}
 		w.store.SetFault(standin.Fault{})
 		time.Sleep(1200 * time.Millisecond)
-		a, err := w.do(0, ping())
+		a, err := w.send(0, pingRequest())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
 		w.store.Put(platform.KindEndpoint, w.plains[1].Config().ID, w.plains[1].Entry("ready"))
 		time.Sleep(2 * time.Second)
 		before := len(w.plains[0].Runs())
 		for range 6 {
-			a, err := w.do(0, ping())
+			a, err := w.send(0, pingRequest())
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, 200)
 		}
@@ -125,30 +126,31 @@
 	})
 }
 
-// TestReplacedEnginesAreToldOf: the store is away, and an engine crashed and came back under another id, which
-// nobody can know. The first instance whose request is refused there tells the others: each try by another one
-// would count against the retries that all share.
-func TestReplacedEnginesAreToldOf(t *testing.T) {
+// TestReplacedEngineIsAnnounced lets an engine crash and return under another id during an outage
+// of the store, so that no instance can know of it. The first instance whose request is refused
+// there tells the others, since each further try would count against the retry budget that all
+// share.
+func TestReplacedEngineIsAnnounced(t *testing.T) {
 	const fronts = 9
 	run(t, fronts, 4, 1, func(w *world) {
 		w.store.SetFault(standin.Fault{Outage: standin.Silent})
 		old := w.engines[0].Config()
 		w.crashEngine(old.ID)
 		time.Sleep(100 * time.Millisecond)
-		now := w.engine(0, "-again")
+		replacement := w.newEngine(0, "-again")
 		var streams []chan standin.Answer
 		for round := range 2 {
 			for f := range fronts {
-				r := brief(fmt.Sprintf("%x", 0xb0+round*fronts+f))
+				r := briefRequest(fmt.Sprintf("%x", 0xb0+round*fronts+f))
 				r.Tokens = 300
-				streams = append(streams, w.stream(f, r))
+				streams = append(streams, w.startStream(f, r))
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 		for _, s := range streams {
 			assert.Equal(w.t, (<-s).Status, http.StatusOK)
 		}
-		assert.Equal(w.t, len(now.Runs()), 0)
-		assert.Assert(w.t, now.Refused() <= 2, "tried %d times", now.Refused())
+		assert.Equal(w.t, len(replacement.Runs()), 0)
+		assert.Assert(w.t, replacement.Refused() <= 2, "tried %d times", replacement.Refused())
 	})
 }
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -1,8 +1,7 @@
-// Package front puts together an instance that forwards requests on a platform, and runs it.
+// Package front assembles and runs an instance that forwards requests on a platform.
 //
-// Failure modes: an address that can't be listened on ends the start with an error. The store being
-// down does not: until a configuration is known, requests are refused with 503 and the instance is not
-// ready.
+// An address that can't be listened on makes the start fail. An unreachable store does not: until a
+// configuration is known, the instance is not ready and refuses requests with status 503.
 package front
 
 import (
@@ -42,10 +41,10 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	namespace = errorx.NewNamespace("front")
-	// ErrListen: an address of the settings can't be listened on.
+	// ErrListen says that an address of the settings can't be listened on.
 	ErrListen = namespace.NewType("listen")
 )
 
@@ -54,7 +53,7 @@
 	settings  *settings.Front
 	env       Environment
 	telemetry *telemetry.Telemetry
-	output    *decisions.Writer
+	logWriter *decisions.Writer
 	decisions *decisions.Log
 
 	store         *platform.Store
@@ -65,42 +64,45 @@
 	forwarder     *forward.Forwarder
 	exchange      *exchange.Exchange
 	crashes       *crashes.Register
-	// rollouts and orders are nil where services are not moved to other builds.
-	rollouts *rollouts.Register
-	orders   *follow.Rollouts
-	mirror   *follow.Mirror
-	relay    *relay.Relay
-
-	// known is closed once a configuration and a list of endpoints are known.
-	known     chan struct{}
-	knownOnce sync.Once
-	tuned     sync.Once
-
-	callers  *callers
-	servers  []*http.Server
-	draining atomic.Bool
-	cancel   context.CancelFunc
-	work     sync.WaitGroup
+	// rollouts and rolloutOrders are nil where the settings switch rollouts off or set no bounds
+	// for them.
+	rollouts      *rollouts.Register
+	rolloutOrders *follow.Rollouts
+	mirror        *follow.Mirror
+	relay         *relay.Relay
+
+	// synced is closed once the configuration, the rollouts and a list of endpoints that is not
+	// empty have been read.
+	synced          chan struct{}
+	syncedOnce      sync.Once
+	memoryLimitOnce sync.Once
+
+	callers    *callerServers
+	servers    []*http.Server
+	draining   atomic.Bool
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// Environment is what an instance runs in.
+// Environment holds what an instance takes from the operating system, so that tests can replace it.
 type Environment struct {
 	Network network.Network
-	// Clock also runs while the machine is suspended.
+	// Clock returns a monotonic time that also advances while the machine is suspended.
 	Clock clock.Now
-	// Out takes the log lines.
+	// Out receives the log lines.
 	Out io.Writer
 }
 
-// Start listens and runs an instance.
+// Start listens on all addresses of the settings and runs an instance. It returns [ErrListen] if an
+// address can't be listened on. The caller ends the instance with Drain or Close.
 func Start(s *settings.Front, env Environment) (*Front, error) {
-	f := &Front{settings: s, env: env, output: decisions.NewWriter(env.Out), known: make(chan struct{})}
-	t, err := telemetry.NewFront(s, f.output)
+	f := &Front{settings: s, env: env, logWriter: decisions.NewWriter(env.Out), synced: make(chan struct{})}
+	t, err := telemetry.NewFront(s, f.logWriter)
 	if err != nil {
 		return nil, err
 	}
 	f.telemetry = t
-	time.AfterFunc(tuneAfter, f.limitMemory)
+	time.AfterFunc(memoryLimitDelay, f.limitMemory)
 	listeners, err := listen(s, env.Network)
 	if err != nil {
 		return nil, err
@@ -109,77 +111,80 @@
 	f.serve(listeners)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	parts := []func(context.Context){f.exchange.Run, f.crashes.Run, f.follow, f.decisions.Run, f.sweep}
+	loops := []func(context.Context){f.exchange.Run, f.crashes.Run, f.runFollowers, f.decisions.Run, f.sweepConnections}
 	if f.rollouts != nil {
-		parts = append(parts, f.rollouts.Run)
+		loops = append(loops, f.rollouts.Run)
 	}
-	for _, run := range parts {
-		f.work.Go(func() { run(ctx) })
+	for _, run := range loops {
+		f.goroutines.Go(func() { run(ctx) })
 	}
 	t.Log.WithField("callers", s.Listen.Callers).WithField("store", s.Store.Address).Info("started")
 	return f, nil
 }
 
-// listeners are all the addresses that are listened on.
+// listeners holds a listener for each address of the settings. metrics is nil where the settings
+// name no address for it.
 type listeners struct {
 	callers, ready, directory, metrics net.Listener
-	// Other instances are reached at one address: by datagrams, and for calls.
-	peers net.PacketConn
-	calls net.Listener
+	// Other instances use one address for both: datagrams (UDP) and calls (TCP).
+	peerDatagrams net.PacketConn
+	peerCalls     net.Listener
 }
 
 func listen(s *settings.Front, n network.Network) (*listeners, error) {
 	l := &listeners{}
 	for _, a := range []struct {
-		to      *net.Listener
+		target  *net.Listener
 		address string
 	}{
 		{&l.callers, s.Listen.Callers}, {&l.ready, s.Listen.Ready}, {&l.directory, s.Listen.Directory}, {&l.metrics, s.Listen.Metrics},
-		{&l.calls, s.Listen.Peers},
+		{&l.peerCalls, s.Listen.Peers},
 	} {
 		if a.address == "" {
 			continue
 		}
 		var err error
-		if *a.to, err = n.Listen(a.address); err != nil {
+		if *a.target, err = n.Listen(a.address); err != nil {
 			return nil, ErrListen.Wrap(err, "can't listen on %s", a.address)
 		}
 	}
 	var err error
-	if l.peers, err = n.ListenPacket(s.Listen.Peers); err != nil {
+	if l.peerDatagrams, err = n.ListenPacket(s.Listen.Peers); err != nil {
 		return nil, ErrListen.Wrap(err, "can't listen on %s", s.Listen.Peers)
 	}
 	return l, nil
 }
 
-// Of the bound on keys that were taken away, a request may use a part. The rest is for a watch that heard
-// of no change for a second although there was one, as the store's pages allow, and for the request on
-// its way to the endpoint.
-const keyShare = 0.78
+// keyBoundShare is the part of Bounds.Revoke that the proof of the configuration may age while
+// requests with keys are still served. The rest covers two delays: a watch may report no change for
+// up to a second after there was one, as the store's documentation allows, and the request takes
+// time to reach the endpoint.
+const keyBoundShare = 0.78
 
-// Of the bound on applying a change, the part within which a request may be denied for good.
-const denyShare = 0.85
+// denyBoundShare is the part of Bounds.Apply that the proof of the configuration may age while
+// requests are still denied for good (401, 404).
+const denyBoundShare = 0.85
 
-// build makes the parts and joins them.
+// build creates the components and connects them.
 func (f *Front) build(l *listeners) {
 	s, t := f.settings, f.telemetry
 	dial := network.Within(f.env.Network, s.Streams.Connect)
 	f.decisions = decisions.New(t.Log)
 	f.store = platform.NewStore(s.Store.Address, s.Store.Timeout, network.Within(f.env.Network, s.Store.Timeout))
-	f.store.Observe(f.countCall)
-	view := routing.DefaultSettings()
-	view.Choices = choices
-	view.QueueFactor, view.FallBackToSuspected, view.ByPrompt = queueFactor, true, s.Mechanisms.ByPrompt
+	f.store.Observe(f.countStoreCall)
+	routingSettings := routing.DefaultSettings()
+	routingSettings.Choices = routingChoices
+	routingSettings.QueueFactor, routingSettings.FallBackToSuspected, routingSettings.ByPrompt = queueFactor, true, s.Mechanisms.ByPrompt
 	if !s.Mechanisms.Doubt {
-		view.SuspicionPenalty = 0
+		routingSettings.SuspicionPenalty = 0
 	}
-	f.placement = placement.New(view, rand.Uint64())
+	f.placement = placement.New(routingSettings, rand.Uint64())
 	f.pool = upstream.NewPool(dial)
 	f.mirror = follow.NewMirror(f.env.Clock, func() time.Duration { return s.WatchWait() + staleMargin + f.relay.Slack() })
-	following := follow.Options{Source: f.source, Mirror: f.mirror, Wait: s.WatchWait(), Now: f.env.Clock, Log: t.Log}
-	f.configuration = follow.NewConfiguration(following, f.reconfigured)
-	f.endpoints = follow.NewEndpoints(following, f.knownService, f.placement.InUse, f.listed)
-	f.buildRollouts(following)
+	followOptions := follow.Options{Source: f.source, Mirror: f.mirror, Wait: s.WatchWait(), Now: f.env.Clock, Log: t.Log}
+	f.configuration = follow.NewConfiguration(followOptions, f.onConfigurationChange)
+	f.endpoints = follow.NewEndpoints(followOptions, f.isServiceConfigured, f.placement.InUse, f.onEndpointsChange)
+	f.buildRollouts(followOptions)
 	f.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: f.store,
 		Met:       func() <-chan struct{} { return f.exchange.Met() },
@@ -193,7 +198,7 @@
 			ID: s.Instance.ID, Callers: s.Listen.Callers, Peers: s.Listen.Peers, DataCentre: s.Instance.DataCentre, Region: s.Instance.Region,
 			Link: int(s.Process.Link),
 		},
-		Conn: l.peers, Store: f.store, Ready: f.ready, Access: f.access, Endpoints: &shared{f}, Crashes: f.crashes, Rollouts: f.toldRollouts(), Uses: f.uses, Clock: f.env.Clock, Log: t.Log, Scope: t.Scope,
+		Conn: l.peerDatagrams, Store: f.store, Ready: f.ready, Access: f.storeAccess, Endpoints: &peerEndpoints{f}, Crashes: f.crashes, Rollouts: f.exchangeRollouts(), Uses: f.retryCounts, Clock: f.env.Clock, Log: t.Log, Scope: t.Scope,
 	})
 	f.relay = relay.New(relay.Options{
 		Settings: f.sourceSettings(), Store: f.store, Mirror: f.mirror, Others: f.exchange.Others,
@@ -201,53 +206,53 @@
 	})
 	f.forwarder = forward.New(forward.Options{
 		Settings: forward.Settings{
-			DataCentre: s.Instance.DataCentre, KeyBound: f.keyBound(), DenyBound: time.Duration(denyShare * float64(s.Bounds.Apply)),
+			DataCentre: s.Instance.DataCentre, KeyBound: f.keyBound(), DenyBound: time.Duration(denyBoundShare * float64(s.Bounds.Apply)),
 			RetryShare: s.Retries.Share, RetryReserve: s.Retries.Reserve, RetryWindow: s.Retries.Window,
 			SilenceFloor: s.Streams.Silence, FirstEvent: s.Streams.FirstEvent, Probe: s.Streams.Probe, Connect: s.Streams.Connect,
-			Without: without(&s.Mechanisms),
+			Without: disabledMechanisms(&s.Mechanisms),
 		},
-		Configuration: f.configuration, Known: f.known, Placement: f.placement, Pool: f.pool, Others: f.others(), Crashes: f.held(), Rollouts: f.forwardRollouts(), Clock: f.env.Clock,
+		Configuration: f.configuration, Known: f.synced, Placement: f.placement, Pool: f.pool, Others: f.forwardOthers(), Crashes: f.forwardCrashes(), Rollouts: f.forwardRollouts(), Clock: f.env.Clock,
 		Ended: f.endpoints.Ended, Log: f.decisions, Scope: t.Scope, Tracer: t.Tracer,
 	})
 }
 
-// without returns the mechanisms of forwarding that are switched off.
-func without(m *settings.FrontMechanisms) forward.Without {
+// disabledMechanisms returns the mechanisms of forwarding that the settings switch off.
+func disabledMechanisms(m *settings.FrontMechanisms) forward.Without {
 	return forward.Without{
 		Copies: !m.Copies, CopyElsewhere: !m.CopyElsewhere, Search: !m.Search, Health: !m.Health, Pace: !m.Pace,
 		SharedRetries: !m.SharedRetries, Line: !m.Line, FirstLook: !m.FirstLook, Claims: !m.Claims,
 	}
 }
 
-// staleMargin is by how much what an instance tells its followers may be older than a watch waits, in calm times:
-// it covers the pause and the shorter watch that follow a change.
+// staleMargin is how much older than WatchWait the data may be that an instance passes on to its
+// followers while nothing changes. It covers the pause and the shorter watch that follow a change.
 const staleMargin = 600 * time.Millisecond
 
-// countCall counts the calls to the store by what they ask for: each one is paid for.
-func (f *Front) countCall(c platform.StoreCall) {
+// countStoreCall counts calls to the store by what they ask for, since each call has a price.
+func (f *Front) countStoreCall(c platform.StoreCall) {
 	f.telemetry.Scope.Tagged(map[string]string{"kind": c.Kind, "call": c.Verb, "stale": strconv.FormatBool(c.Stale)}).Counter("store_calls_total").Inc(1)
 }
 
-// follow keeps routes and endpoints in step with the store, or with another instance, once it is known which others there
-// are.
-func (f *Front) follow(ctx context.Context) {
+// runFollowers keeps the configuration, the rollouts and the endpoints up to date from the store or
+// from another instance. It starts once the exchange has looked for the other instances.
+func (f *Front) runFollowers(ctx context.Context) {
 	select {
 	case <-f.exchange.Met():
 	case <-ctx.Done():
 		return
 	}
-	f.work.Go(func() { f.configuration.Run(ctx) })
-	if f.orders != nil {
-		f.work.Go(func() { f.orders.Run(ctx) })
+	f.goroutines.Go(func() { f.configuration.Run(ctx) })
+	if f.rolloutOrders != nil {
+		f.goroutines.Go(func() { f.rolloutOrders.Run(ctx) })
 	}
 	f.endpoints.Run(ctx)
 }
 
-// source returns whom the followers ask next.
+// source returns the store or the instance that the followers ask next.
 func (f *Front) source() follow.Source { return f.relay.Source() }
 
-// access tells whether the store answers this instance.
-func (f *Front) access() source.Access { return f.relay.Access() }
+// storeAccess reports whether the store answers this instance.
+func (f *Front) storeAccess() source.Access { return f.relay.Access() }
 
 func (f *Front) sourceSettings() source.Settings {
 	s := source.DefaultSettings()
@@ -257,64 +262,67 @@
 	if !f.settings.Mechanisms.Tree {
 		s.Roots = math.MaxInt
 	}
-	// Knowledge must not grow too old for keys while one call is waited for.
+	// A call that hangs must not let the configuration become too old for requests with keys.
 	s.MaxTimeout = max(min(f.settings.Store.Timeout, f.keyBound()-f.settings.WatchWait()), s.MinTimeout)
 	return s
 }
 
-// choices is how many endpoints a choice compares at random, besides one of the own data centre. What
-// is known of the others' choices is some tens of milliseconds old, so with many candidates all
-// instances would take the same one when a data centre is lost and its streams move at once: with 8 of
-// 24 an engine got four of them. With 6, one that reads no prompt is nearly always found while a quarter
-// of the engines read one.
-const choices = 6
+// routingChoices is how many endpoints a pick compares. An instance learns of the picks of others
+// some tens of milliseconds late. With many candidates, all instances pick the same engine when a
+// data centre is lost and its streams move at once: with 8 candidates of 24 engines, one engine got
+// four streams. With 6 candidates, a pick nearly always finds an engine that is not prefilling
+// while a quarter of the engines are.
+const routingChoices = 6
 
-// uses returns what this instance has counted, by service.
-func (f *Front) uses() map[string]limits.RetryCounts { return f.forwarder.Uses() }
+// retryCounts returns the requests and retries that this instance has counted, by service.
+func (f *Front) retryCounts() map[string]limits.RetryCounts { return f.forwarder.Uses() }
 
-// queueFactor times its slots is what an endpoint may hold: what waits there for a slot is served
-// sooner than what waits here, as long as the wait is within the aim. At three times the slots, a
-// request waits for two others.
+// queueFactor times its slots is the number of requests that an endpoint may hold. A request that
+// waits there for a slot is served sooner than one that waits at the instance, as long as the wait
+// is within the route's target latency. At three times the slots, a request waits for two others.
 const queueFactor = 3
 
 func (f *Front) keyBound() time.Duration {
-	return time.Duration(keyShare * float64(f.settings.Bounds.Revoke))
+	return time.Duration(keyBoundShare * float64(f.settings.Bounds.Revoke))
 }
 
-// reconfigured takes a new configuration: engines' memory comes with their service.
-func (f *Front) reconfigured(*route.Table) { f.endpoints.Publish() }
+// onConfigurationChange publishes the endpoints again, since the memory size of engines comes with
+// the configuration of their service.
+func (f *Front) onConfigurationChange(*route.Table) { f.endpoints.Publish() }
 
-// knownService tells whether the configuration names a service; all count before one is known.
-func (f *Front) knownService(name string) bool {
+// isServiceConfigured reports whether the configuration names a service. Until a configuration has
+// been read, it is true for all services.
+func (f *Front) isServiceConfigured(name string) bool {
 	table, _ := f.configuration.Table()
 	return table == nil || table.Service(name) != nil
 }
 
-// listed takes the list of endpoints.
-func (f *Front) listed(all []routing.Endpoint) {
+// onEndpointsChange takes a new list of endpoints and adds the memory size of engines to it.
+func (f *Front) onEndpointsChange(endpoints []routing.Endpoint) {
 	table, _ := f.configuration.Table()
-	for i := range all {
+	for i := range endpoints {
 		if table == nil {
 			break
 		}
-		if s := table.Service(all[i].Service); s != nil && s.Engine != nil {
-			all[i].Memory = s.Engine.KVCapacityTokens
+		if s := table.Service(endpoints[i].Service); s != nil && s.Engine != nil {
+			endpoints[i].Memory = s.Engine.KVCapacityTokens
 		}
 	}
 	if f.rollouts != nil {
-		all = f.rollouts.Usable(all)
+		endpoints = f.rollouts.Usable(endpoints)
 	}
-	f.placement.SetEndpoints(all)
-	if table != nil && len(all) > 0 && (f.rollouts == nil || f.rollouts.Known()) {
-		f.knownOnce.Do(func() {
-			close(f.known)
+	f.placement.SetEndpoints(endpoints)
+	if table != nil && len(endpoints) > 0 && (f.rollouts == nil || f.rollouts.Known()) {
+		f.syncedOnce.Do(func() {
+			close(f.synced)
 			f.forwarder.FirstLook()
 			f.limitMemory()
 		})
 	}
 }
 
-// ready tells whether callers may be sent here: a configuration is known to be in force.
+// ready reports whether callers may be sent to this instance: it does not drain, and the proof of
+// its configuration is recent enough for requests with keys, if any route requires one.
 func (f *Front) ready() bool {
 	table, age := f.configuration.Table()
 	if table == nil || f.draining.Load() {
@@ -323,10 +331,11 @@
 	return !table.RequiresKey() || age < f.keyBound()
 }
 
-// sweepEvery is how often idle connections are looked through.
-const sweepEvery = time.Second
+// sweepInterval is the time between two checks of the idle connections.
+const sweepInterval = time.Second
 
-// sweep closes idle connections that endpoints are about to close, or whose endpoint is gone.
-func (f *Front) sweep(ctx context.Context) {
-	pause.Every(ctx, sweepEvery, func() { f.pool.Retain(f.placement.Known) })
+// sweepConnections closes idle connections that endpoints are about to close, and those whose
+// endpoint is no longer listed.
+func (f *Front) sweepConnections(ctx context.Context) {
+	pause.Every(ctx, sweepInterval, func() { f.pool.Retain(f.placement.Known) })
 }
--- a/gateway/front/late_streams_test.go
+++ b/gateway/front/late_streams_test.go
@@ -9,12 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStreamThatCannotEndIsRefused: callers who waited on silent connections come back with the rest of the time that they had. Whoever
-// can't have the whole answer by then hears so at once, and no engine prefills the prompt for nothing. Whoever can is served.
-func TestStreamThatCannotEndIsRefused(t *testing.T) {
+// TestStreamThatCannotEndInTimeIsRefused guards against prefilling prompts for callers that can't
+// have the whole answer in time. Callers that waited on silent connections come back with the rest
+// of their time. Those for whom it is too short are refused at once; the others are served.
+func TestStreamThatCannotEndInTimeIsRefused(t *testing.T) {
 	run(t, 1, 6, 1, func(w *world) {
 		for i := range 6 {
-			a, err := w.do(0, brief(fmt.Sprintf("%x", i+100)))
+			a, err := w.send(0, briefRequest(fmt.Sprintf("%x", i+100)))
 			assert.NilError(t, err)
 			assert.Assert(t, a.Whole)
 		}
@@ -29,18 +30,18 @@
 			{"too late from the beginning", 0, 3 * time.Second, false},
 			{"in time", 40, 3 * time.Second, true},
 		} {
-			before, began := w.read(), time.Now()
-			r := brief(fmt.Sprintf("%x", i+200))
+			before, began := w.prefilledTokens(), time.Now()
+			r := briefRequest(fmt.Sprintf("%x", i+200))
 			r.LastEvent, r.Wait = c.held, c.left
-			a, err := w.do(0, r)
+			a, err := w.send(0, r)
 			assert.NilError(t, err, c.name)
 			if c.whole {
-				whole(t, a, r.Prompt, c.held)
+				assertWhole(t, a, r.Prompt, c.held)
 				continue
 			}
 			assert.Equal(t, a.Status, http.StatusServiceUnavailable, c.name)
 			assert.Assert(t, time.Since(began) < 150*time.Millisecond, "%s: %v", c.name, time.Since(began))
-			assert.Equal(t, w.read(), before, c.name)
+			assert.Equal(t, w.prefilledTokens(), before, c.name)
 		}
 	})
 }
--- a/gateway/front/overload_test.go
+++ b/gateway/front/overload_test.go
@@ -10,17 +10,18 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestOverload: forty streams for three engines that hold nine each. Who finds no room is told so within
-// half of the aim and when to come back; nobody is left without an answer, and none is cut.
+// TestOverload sends 40 streams to three engines that hold nine each. A caller that gets no room
+// must be told within half of the target latency, and when to come back. No caller stays without an
+// answer, and no stream is cut.
 func TestOverload(t *testing.T) {
 	run(t, 2, 3, 1, func(w *world) {
 		const callers = 40
 		answers := make(chan standin.Answer, callers)
 		for i := range callers {
 			go func() {
-				r := brief(string(rune('a'+i%26)) + "0")
+				r := briefRequest(string(rune('a'+i%26)) + "0")
 				began := time.Now()
-				a, err := w.do(i%2, r)
+				a, err := w.send(i%2, r)
 				if err == nil && a.Status != http.StatusOK && time.Since(began) > 2400*time.Millisecond {
 					a.Body = "late"
 				}
@@ -31,7 +32,7 @@
 		served, refused := 0, 0
 		for range callers {
 			switch a := <-answers; {
-			case a.Status == http.StatusOK && a.Whole && len(a.Events) == events:
+			case a.Status == http.StatusOK && a.Whole && len(a.Events) == streamEvents:
 				served++
 			case a.Status == http.StatusServiceUnavailable && a.RetryAfter != "" && a.Body != "late":
 				refused++
@@ -43,20 +44,21 @@
 	})
 }
 
-// TestFullEnginesAreNotPressed: engines that refuse, though they are believed to have room, are asked a few times
-// a second for a stream that can go nowhere else, not at each look.
-func TestFullEnginesAreNotPressed(t *testing.T) {
+// TestFullEnginesAreRetriedSlowly guards against flooding engines that refuse although they seem to
+// have room. For a stream that can go nowhere else, an engine is tried a few times a second, and
+// not at each poll.
+func TestFullEnginesAreRetriedSlowly(t *testing.T) {
 	run(t, 1, 3, 1, func(w *world) {
 		for _, e := range w.engines {
 			e.SetFault(standin.WorkerFault{Shed: true})
 		}
-		a, err := w.do(0, brief("b1"))
+		a, err := w.send(0, briefRequest("b1"))
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, http.StatusServiceUnavailable)
 		refused := 0
 		for _, e := range w.engines {
 			refused += e.Refused()
 		}
-		assert.Assert(t, refused <= 3*8, "%d tries", refused) // 1.5 s of tries, at each engine five a second
+		assert.Assert(t, refused <= 3*8, "%d tries", refused) // 1.5 s, with five tries a second at each engine
 	})
 }
--- /dev/null
+++ b/gateway/front/peer_endpoints.go
@@ -0,0 +1,78 @@
+package front
+
+import (
+	"context"
+
+	"github.com/agateway/agateway/core/limits"
+	"github.com/agateway/agateway/core/routing"
+	"github.com/agateway/agateway/gateway/exchange"
+	"github.com/agateway/agateway/gateway/forward"
+)
+
+// peerEndpoints connects the exchange with what this instance knows of endpoints. It implements
+// [exchange.Endpoints].
+type peerEndpoints struct{ f *Front }
+
+func (s *peerEndpoints) Told() routing.PeerReport {
+	f := s.f
+	if !f.settings.Mechanisms.Announcements {
+		return routing.PeerReport{}
+	}
+	t := f.placement.Told()
+	t.Prefilled = f.forwarder.Read()
+	return t
+}
+
+func (s *peerEndpoints) Heard(instance string, t routing.PeerReport, uses map[string]limits.RetryCounts) {
+	f := s.f
+	f.placement.SetPeer(instance, t)
+	if len(t.Ended) > 0 {
+		f.endpoints.Ended(t.Ended...)
+	}
+	f.forwarder.HeardUses(instance, uses)
+}
+
+func (s *peerEndpoints) Counted(instance string, uses map[string]limits.RetryCounts) {
+	s.f.forwarder.HeardUses(instance, uses)
+}
+
+func (s *peerEndpoints) SetOwned(owned func(endpoint string) bool) { s.f.placement.SetOwned(owned) }
+
+func (s *peerEndpoints) Summary(endpoint, asking string, prompt uint64) (routing.Summary, bool) {
+	return s.f.placement.Summary(endpoint, asking, prompt)
+}
+
+func (s *peerEndpoints) Claim(endpoint, peer string, c routing.Claim) (granted, known bool) {
+	return s.f.placement.Claim(endpoint, peer, c)
+}
+
+func (s *peerEndpoints) Learn(summary *routing.Summary, prompt uint64) {
+	s.f.placement.Learn(summary, prompt)
+}
+
+// forwardOthers returns the other instances for the forwarder.
+func (f *Front) forwardOthers() forward.Others {
+	if !f.settings.Mechanisms.Announcements || !f.settings.Mechanisms.Owners {
+		return &noPeerQueries{f.exchange}
+	}
+	return f.exchange
+}
+
+// noPeerQueries are other instances that are not asked about engines before a request is placed,
+// and that grant every claim.
+type noPeerQueries struct{ *exchange.Exchange }
+
+// Ask implements [forward.Others].
+func (u *noPeerQueries) Ask(context.Context, uint64, []string) {}
+
+// Claim implements [forward.Others].
+func (u *noPeerQueries) Claim(context.Context, string, routing.Claim) bool { return true }
+
+// forwardCrashes returns the register of requests that crash endpoints for the forwarder; nil where
+// that mechanism is switched off.
+func (f *Front) forwardCrashes() forward.Crashes {
+	if !f.settings.Mechanisms.Crashes {
+		return nil
+	}
+	return f.crashes
+}
--- a/gateway/front/plain_test.go
+++ b/gateway/front/plain_test.go
@@ -11,15 +11,16 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// all sets a fault at all plain endpoints, at those from the first one given.
-func (w *world) all(f standin.WorkerFault, from int) {
+// setPlainFaults sets a fault at the plain endpoints with index from and above.
+func (w *world) setPlainFaults(f standin.WorkerFault, from int) {
 	for _, p := range w.plains[from:] {
 		p.SetFault(f)
 	}
 }
 
-// TestPlain: what a caller gets, and how often its request runs, for each way in which an endpoint fails.
-func TestPlain(t *testing.T) {
+// TestPlainRequestOutcomes checks what a caller gets, and how often its request runs, for each way
+// in which an endpoint fails.
+func TestPlainRequestOutcomes(t *testing.T) {
 	type fault = standin.WorkerFault
 	for name, c := range map[string]struct {
 		request standin.Request
@@ -29,33 +30,33 @@
 		runs    int
 		signed  bool
 	}{
-		"once":                             {logLift(), fault{}, 0, 200, 1, true},
-		"idempotent":                       {ping(), fault{}, 0, 200, 1, true},
-		"once, refused by all":             {logLift(), fault{Shed: true}, 0, 503, 0, false},
-		"once, refused by some":            {logLift(), fault{Shed: true}, 1, 200, 1, true},
-		"once, failed":                     {logLift(), fault{Fail: true}, 0, 500, 1, true},
-		"idempotent, failed by all":        {ping(), fault{Fail: true}, 0, 500, 2, true},
-		"once, answer lost":                {logLift(), fault{LoseAnswer: true}, 0, 502, 1, false},
-		"idempotent, answer lost by all":   {ping(), fault{LoseAnswer: true}, 0, 502, 2, false},
-		"once, broken off":                 {logLift(), fault{Truncate: true}, 0, 502, 1, false},
-		"idempotent, broken off by all":    {ping(), fault{Truncate: true}, 0, 502, 2, false},
-		"once, not signed":                 {logLift(), fault{Unsigned: true}, 0, 502, 1, false},
-		"once, nothing said":               {logLift(), fault{Hang: true}, 0, 504, 1, false},
-		"once, more than was asked for":    {logLift(), fault{Extra: true}, 0, 200, 1, true},
-		"idempotent, more than was wanted": {ping(), fault{Extra: true}, 0, 200, 1, true},
+		"once":                             {logRequest(), fault{}, 0, 200, 1, true},
+		"idempotent":                       {pingRequest(), fault{}, 0, 200, 1, true},
+		"once, refused by all":             {logRequest(), fault{Shed: true}, 0, 503, 0, false},
+		"once, refused by some":            {logRequest(), fault{Shed: true}, 1, 200, 1, true},
+		"once, failed":                     {logRequest(), fault{Fail: true}, 0, 500, 1, true},
+		"idempotent, failed by all":        {pingRequest(), fault{Fail: true}, 0, 500, 2, true},
+		"once, answer lost":                {logRequest(), fault{LoseAnswer: true}, 0, 502, 1, false},
+		"idempotent, answer lost by all":   {pingRequest(), fault{LoseAnswer: true}, 0, 502, 2, false},
+		"once, broken off":                 {logRequest(), fault{Truncate: true}, 0, 502, 1, false},
+		"idempotent, broken off by all":    {pingRequest(), fault{Truncate: true}, 0, 502, 2, false},
+		"once, not signed":                 {logRequest(), fault{Unsigned: true}, 0, 502, 1, false},
+		"once, nothing said":               {logRequest(), fault{Hang: true}, 0, 504, 1, false},
+		"once, more than was asked for":    {logRequest(), fault{Extra: true}, 0, 200, 1, true},
+		"idempotent, more than was wanted": {pingRequest(), fault{Extra: true}, 0, 200, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, 1, 3, func(w *world) {
-				w.all(c.fault, c.spared)
-				for range 4 { // connections are used again
+				w.setPlainFaults(c.fault, c.spared)
+				for range 4 { // the later ones reuse connections
 					r := c.request
-					r.ID = w.id()
+					r.ID = w.newRequestID()
 					began := time.Now()
-					a, err := w.do(0, r)
+					a, err := w.send(0, r)
 					assert.NilError(t, err)
 					assert.Equal(t, a.Status, c.status)
 					assert.Equal(t, a.Signed != "", c.signed)
-					assert.Equal(t, w.plainRuns(r.ID), c.runs)
+					assert.Equal(t, w.plainRunCount(r.ID), c.runs)
 					assert.Equal(t, a.RetryAfter != "", c.status == 503)
 					assert.Assert(t, a.Whole)
 					if c.status == 200 {
@@ -68,8 +69,9 @@
 	}
 }
 
-// TestIdempotentGoesElsewhere: one of three endpoints fails; the caller does not notice.
-func TestIdempotentGoesElsewhere(t *testing.T) {
+// TestIdempotentRequestIsRetriedElsewhere checks that callers of idempotent requests do not notice
+// when one of three endpoints fails.
+func TestIdempotentRequestIsRetriedElsewhere(t *testing.T) {
 	for name, f := range map[string]standin.WorkerFault{
 		"fails": {Fail: true}, "loses": {LoseAnswer: true}, "breaks off": {Truncate: true},
 	} {
@@ -77,7 +79,7 @@
 			run(t, 1, 1, 3, func(w *world) {
 				w.plains[0].SetFault(f)
 				for range 12 {
-					a, err := w.do(0, ping())
+					a, err := w.send(0, pingRequest())
 					assert.NilError(t, err)
 					assert.Equal(t, a.Status, 200)
 				}
@@ -86,12 +88,13 @@
 	}
 }
 
-// TestWhatIsPassedOn: the request as it came, but for what only the system says.
-func TestWhatIsPassedOn(t *testing.T) {
+// TestForwardedRequest checks that a request is forwarded unchanged, except for the headers that
+// only the system may set.
+func TestForwardedRequest(t *testing.T) {
 	run(t, 1, 1, 1, func(w *world) {
-		r := logLift()
-		r.Forged, r.ID = true, w.id()
-		a, err := w.do(0, r)
+		r := logRequest()
+		r.Forged, r.ID = true, w.newRequestID()
+		a, err := w.send(0, r)
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
 		got := w.plains[0].Runs()[0]
@@ -103,17 +106,18 @@
 	})
 }
 
-// TestLimitsOnCallers: what is larger than the configuration allows is refused before it is sent on.
+// TestLimitsOnCallers checks that requests above the configured sizes are refused and not
+// forwarded.
 func TestLimitsOnCallers(t *testing.T) {
 	run(t, 1, 1, 1, func(w *world) {
-		r := logLift()
+		r := logRequest()
 		r.Body = strings.Repeat("x", 3<<20)
-		a, err := w.do(0, r)
-		if err == nil { // the answer may be overtaken by the close, since the body was not read
+		a, err := w.send(0, r)
+		if err == nil { // the connection may be closed before the answer arrives, since the body was not read
 			assert.Equal(t, a.Status, http.StatusRequestEntityTooLarge)
 		}
 		r.Body, r.Path = "x", "/log/"+strings.Repeat("y", 64<<10)
-		a, err = w.do(0, r)
+		a, err = w.send(0, r)
 		if err == nil {
 			assert.Equal(t, a.Status, http.StatusRequestHeaderFieldsTooLarge)
 		}
@@ -121,13 +125,14 @@
 	})
 }
 
-// TestLargeBodies: what is not kept in memory is passed on as it comes, unchanged, with a length or in chunks.
+// TestLargeBodies checks that bodies that are not held in memory are forwarded unchanged as they
+// arrive, with a length or in chunks.
 func TestLargeBodies(t *testing.T) {
 	run(t, 1, 1, 1, func(w *world) {
 		for _, size := range []int{1, 200 << 10, 256 << 10, 900 << 10} {
-			r := logLift()
-			r.Body, r.ID = strings.Repeat("0123456789", size/10+1), w.id()
-			a, err := w.do(0, r)
+			r := logRequest()
+			r.Body, r.ID = strings.Repeat("0123456789", size/10+1), w.newRequestID()
+			a, err := w.send(0, r)
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, 200)
 			runs := w.plains[0].Runs()
--- a/gateway/front/relay_test.go
+++ b/gateway/front/relay_test.go
@@ -13,8 +13,9 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestFewAskTheStore: nine instances in three data centres ask it as often as three would.
-func TestFewAskTheStore(t *testing.T) {
+// TestStoreCallsDoNotGrowWithInstances checks that nine instances in three data centres call the
+// store about as often as three.
+func TestStoreCallsDoNotGrowWithInstances(t *testing.T) {
 	calls := func(fronts int) int {
 		n := 0
 		run(t, fronts, 1, 1, func(w *world) {
@@ -29,10 +30,10 @@
 	assert.Assert(t, nine <= three+3, "%d calls of nine instances, %d of three", nine, three)
 }
 
-// TestFollowingKeepsTheBounds: whoever is cut off from the store, one that asks it or one that follows,
-// changes are in force everywhere within seconds and nobody serves a key longer than its bound. The one
-// that is cut off follows another, and serves on.
-func TestFollowingKeepsTheBounds(t *testing.T) {
+// TestFollowersKeepTheBounds cuts one instance off from the store, either one that asks it or one
+// that follows. Changes still take effect everywhere within seconds, and no instance serves a key
+// beyond its bound. The instance that is cut off follows another one and continues to serve.
+func TestFollowersKeepTheBounds(t *testing.T) {
 	const fronts = 6
 	for cut := range fronts {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
@@ -50,7 +51,7 @@
 				for time.Since(acknowledged) < 12*time.Second {
 					for i := range fronts {
 						sent := time.Since(acknowledged)
-						a, err := w.do(i, ping())
+						a, err := w.send(i, pingRequest())
 						assert.NilError(t, err)
 						if a.Status == 200 {
 							assert.Assert(t, sent < 3500*time.Millisecond, "instance %d served a key %v after it was taken away", i, sent)
@@ -59,9 +60,9 @@
 					time.Sleep(100 * time.Millisecond)
 				}
 				for i := range fronts {
-					r := ping()
+					r := pingRequest()
 					r.Key = "new-key"
-					a, err := w.do(i, r)
+					a, err := w.send(i, r)
 					assert.NilError(t, err)
 					assert.Equal(t, a.Status, 200, "instance %d", i)
 					assert.Assert(t, w.isReady(i), "instance %d", i)
@@ -71,8 +72,9 @@
 	}
 }
 
-// TestOutageIsNotPricedForEach: while the store answers nobody, one instance a data centre goes on asking.
-func TestOutageIsNotPricedForEach(t *testing.T) {
+// TestStoreCallsDuringOutage checks that only one instance of each data centre goes on calling the
+// store during an outage, since each call has a price.
+func TestStoreCallsDuringOutage(t *testing.T) {
 	run(t, 12, 1, 1, func(w *world) {
 		w.store.SetFault(standin.Fault{Outage: standin.Busy})
 		time.Sleep(6 * time.Second)
@@ -89,13 +91,14 @@
 	})
 }
 
-// TestStoreAwayForAll: instances that follow grow old as those do that ask the store themselves.
-func TestStoreAwayForAll(t *testing.T) {
+// TestStoreUnreachableForAll checks that the data of instances that follow others ages during an
+// outage of the store like that of instances that ask the store themselves.
+func TestStoreUnreachableForAll(t *testing.T) {
 	run(t, 6, 1, 1, func(w *world) {
 		w.store.SetFault(standin.Fault{Outage: standin.Reset})
 		time.Sleep(5 * time.Second)
 		for i := range 6 {
-			a, err := w.do(i, ping())
+			a, err := w.send(i, pingRequest())
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, 503, "instance %d", i)
 			assert.Assert(t, !w.isReady(i))
@@ -103,16 +106,17 @@
 		w.store.SetFault(standin.Fault{})
 		time.Sleep(3 * time.Second)
 		for i := range 6 {
-			a, err := w.do(i, ping())
+			a, err := w.send(i, pingRequest())
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, 200, "instance %d", i)
 		}
 	})
 }
 
-// TestFollowersHearOfLeaving: an endpoint leaves just after an instance that others follow was cut off from
-// the store, without a word. All who reach the store give it no new work after 2 s.
-func TestFollowersHearOfLeaving(t *testing.T) {
+// TestFollowersLearnOfLeavingEndpoints lets an endpoint leave just after an instance that others
+// follow was silently cut off from the store. All instances that reach the store stop giving it new
+// work within 2 s.
+func TestFollowersLearnOfLeavingEndpoints(t *testing.T) {
 	const fronts = 6
 	for cut := range fronts {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
@@ -125,25 +129,25 @@
 				left := time.Now()
 				for time.Since(left) < 5*time.Second {
 					for i := range fronts {
-						r := ping()
-						r.ID = fmt.Sprintf("%d-%s", i, w.id())
-						_, err := w.do(i, r)
+						r := pingRequest()
+						r.ID = fmt.Sprintf("%d-%s", i, w.newRequestID())
+						_, err := w.send(i, r)
 						assert.NilError(t, err)
 					}
 				}
 				for _, r := range w.plains[0].Runs() {
-					of := r.ID[0] == byte('0'+cut)
-					assert.Assert(t, of || r.At.Sub(left) < 2*time.Second, "%s after %v", r.ID, r.At.Sub(left))
+					sentByCutOff := r.ID[0] == byte('0'+cut)
+					assert.Assert(t, sentByCutOff || r.At.Sub(left) < 2*time.Second, "%s after %v", r.ID, r.At.Sub(left))
 				}
 			})
 		})
 	}
 }
 
-// TestPartialOutageIsNotPricedForEach: the store turns half of the instances of each data centre away, at times
-// those that ask it for the others. The others go on following, so that it is asked about as often as in calm
-// times, and all stay ready.
-func TestPartialOutageIsNotPricedForEach(t *testing.T) {
+// TestStoreCallsDuringPartialOutage lets the store fail for half of the instances of each data
+// centre, sometimes those that ask it on behalf of the others. The other instances continue to
+// follow, so the store is called about as often as without a fault, and all instances stay ready.
+func TestStoreCallsDuringPartialOutage(t *testing.T) {
 	const fronts = 12
 	for _, outage := range []standin.Outage{standin.Silent, standin.Busy, standin.Reset} {
 		for half := range 2 {
@@ -157,7 +161,7 @@
 					}
 					w.store.SetFault(standin.Fault{Outage: outage, Hosts: hosts})
 					before := w.store.Counts()
-					for i := range 50 { // endpoints that come and go end each watch
+					for i := range 50 { // changes of endpoints end each watch
 						w.store.Put(platform.KindEndpoint, fmt.Sprint("i-other", i), w.plains[5].Entry("draining"))
 						time.Sleep(200 * time.Millisecond)
 						for f := range fronts {
@@ -173,10 +177,11 @@
 	}
 }
 
-// TestSlowStoreIsStillFollowed: the store takes 400 ms for each answer while endpoints come and go. Nobody takes
-// it, or those who ask it, for lost, and what changed is known everywhere within two seconds.
+// TestSlowStoreIsStillFollowed lets the store take 400 ms for each answer while endpoints come and
+// go. No instance takes the store, or an instance that asks it, for lost, and changes are known
+// everywhere within two seconds.
 func TestSlowStoreIsStillFollowed(t *testing.T) {
-	const fronts, known = 12, 2 * time.Second
+	const fronts, maxDelay = 12, 2 * time.Second
 	run(t, fronts, 1, 1, func(w *world) {
 		w.store.SetFault(standin.Fault{SlowMS: 400})
 		time.Sleep(time.Second)
@@ -188,9 +193,9 @@
 			put[other.Config().ID] = time.Now()
 			time.Sleep(600 * time.Millisecond)
 			for f := range fronts {
-				listed := w.listed(f)
+				listed := w.knownEndpoints(f)
 				for id, at := range put {
-					assert.Assert(w.t, listed[id] || time.Since(at) < known, "instance %d does not know %s after %v", f, id, time.Since(at))
+					assert.Assert(w.t, listed[id] || time.Since(at) < maxDelay, "instance %d does not know %s after %v", f, id, time.Since(at))
 				}
 			}
 		}
@@ -199,8 +204,8 @@
 	})
 }
 
-// listed returns the endpoints that an instance knows, by id.
-func (w *world) listed(i int) map[string]bool {
+// knownEndpoints returns the ids of the endpoints that an instance knows.
+func (w *world) knownEndpoints(i int) map[string]bool {
 	out := map[string]bool{}
 	for _, e := range w.fronts[i].State().Endpoints {
 		out[e.ID] = true
--- a/gateway/front/reload.go
+++ b/gateway/front/reload.go
@@ -11,27 +11,29 @@
 	"github.com/agateway/agateway/gateway/settings"
 )
 
-// fileStep is how often the settings file is looked at: it may change without a signal.
-const fileStep = 2 * time.Second
+// filePollInterval is the time between two checks of the settings file, which may change without a
+// signal.
+const filePollInterval = 2 * time.Second
 
-// WatchFile reads the settings file again when it changed, until ctx ends.
+// WatchFile reloads the settings file whenever it changes, until ctx ends.
 func (f *Front) WatchFile(ctx context.Context, file string) {
-	seen := stamp(file)
-	for pause.For(ctx, fileStep) {
-		if now := stamp(file); now != seen {
-			seen = now
+	last := stamp(file)
+	for pause.For(ctx, filePollInterval) {
+		if now := stamp(file); now != last {
+			last = now
 			f.Reload(file)
 		}
 	}
 }
 
-// fileStamp tells whether a file changed.
+// fileStamp is compared to find out whether a file has changed.
 type fileStamp struct {
-	changed time.Time
-	size    int64
+	modified time.Time
+	size     int64
 }
 
-// stamp returns the stamp of a file; the zero stamp while it is not there, such as while it is replaced.
+// stamp returns the stamp of a file. It is zero while the file does not exist, for instance while
+// it is being replaced.
 func stamp(file string) fileStamp {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -40,16 +42,17 @@
 	return fileStamp{info.ModTime(), info.Size()}
 }
 
-// Reload reads the settings file again. The log level takes effect at once; other changes are named in
-// the log and take effect with the next start. A file that can't be read changes nothing.
+// Reload reads the settings file again. The log level takes effect at once. Other changes take
+// effect with the next start; the log says whether there are any. A file that can't be read or is
+// invalid changes nothing.
 func (f *Front) Reload(file string) {
 	s, err := settings.LoadFront(file)
 	if err != nil {
-		f.telemetry.Log.WithError(err).Error("settings can't be read again; those in force stay")
+		f.telemetry.Log.WithError(err).Error("settings could not be reloaded; the current ones stay in force")
 		return
 	}
 	if level, err := logrus.ParseLevel(s.Logs.Level); err == nil {
 		f.telemetry.Log.Logger.SetLevel(level)
 	}
-	f.telemetry.Log.WithField("needs_restart", *s != *f.settings).Info("settings read again")
+	f.telemetry.Log.WithField("needs_restart", *s != *f.settings).Info("settings reloaded")
 }
--- a/gateway/front/reload_test.go
+++ b/gateway/front/reload_test.go
@@ -10,13 +10,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReload: a good file sets the log level, a bad one changes nothing and says what is wrong.
+// TestReload checks that a valid file sets the log level, and that an invalid one changes nothing
+// and logs what is wrong.
 func TestReload(t *testing.T) {
 	run(t, 1, 1, 1, func(w *world) {
 		file := filepath.Join(t.TempDir(), "front.ini")
 		assert.NilError(t, os.WriteFile(file, []byte(frontSettings(0)+"[logs]\nlevel = warning\n"), 0o600))
 		w.fronts[0].Reload(file)
-		_, err := w.do(0, ping())
+		_, err := w.send(0, pingRequest())
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
 		assert.Assert(t, !strings.Contains(w.logs.String(), `"msg":"answered"`))
@@ -24,7 +25,7 @@
 		w.fronts[0].Reload(file)
 		time.Sleep(time.Second)
 		assert.Assert(t, strings.Contains(w.logs.String(), "[instance] id: is required"))
-		a, err := w.do(0, ping())
+		a, err := w.send(0, pingRequest())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
 	})
--- a/gateway/front/return_test.go
+++ b/gateway/front/restart_test.go
@@ -19,52 +19,53 @@
 	}
 	time.Sleep(down)
 	for i := range w.fronts {
-		w.fronts[i] = w.front(i)
+		w.fronts[i] = w.newFront(i)
 	}
 }
 
-// TestReturnOfAFleetThatForgotEverything: the pattern is the worst two seconds of a day: all instances are killed with
-// streams in progress, and their callers come back, at other instances, in the moment in which these listen again. Each
-// stream goes on where its prompt was read, and what is asked for that does not grow with the number of engines: eight
-// questions a stream, where each instance asked all 60 before.
-func TestReturnOfAFleetThatForgotEverything(t *testing.T) {
-	const fronts, engines, streams, asked = 4, 60, 12, 8
+// TestFleetRestartWithStreamsInProgress kills all instances while streams are in progress. The
+// callers come back at other instances in the moment in which these listen again. Each stream
+// resumes where its prompt was prefilled. The number of calls that ask for it must not grow with
+// the number of engines: at most eight for each stream, where each instance called all 60 engines
+// before.
+func TestFleetRestartWithStreamsInProgress(t *testing.T) {
+	const fronts, engines, streams, maxQuestions = 4, 60, 12, 8
 	run(t, fronts, engines, 0, func(w *world) {
 		prompt := func(i int) string { return fmt.Sprintf("%x", 0xb000+i) }
 		got := make([]chan standin.Answer, streams)
 		for i := range got {
-			got[i] = w.stream(i%fronts, brief(prompt(i)))
+			got[i] = w.startStream(i%fronts, briefRequest(prompt(i)))
 		}
 		time.Sleep(2 * time.Second)
 		w.restartAll(500 * time.Millisecond)
-		back := make([]chan standin.Answer, streams)
+		resumed := make([]chan standin.Answer, streams)
 		held := make([]int, streams)
 		began := time.Now()
 		for i := range got {
 			held[i] = len((<-got[i]).Events)
 			assert.Assert(t, held[i] > 0)
-			r := brief(prompt(i))
+			r := briefRequest(prompt(i))
 			r.LastEvent = held[i]
-			back[i] = w.stream((i+1)%fronts, r)
+			resumed[i] = w.startStream((i+1)%fronts, r)
 		}
-		assert.Equal(t, time.Since(began), time.Duration(0), "they come at once")
-		for i := range back {
-			a := <-back[i]
-			whole(t, a, prompt(i), held[i])
+		assert.Equal(t, time.Since(began), time.Duration(0), "all callers come back at the same time")
+		for i := range resumed {
+			a := <-resumed[i]
+			assertWhole(t, a, prompt(i), held[i])
 			assert.Assert(t, a.Events[0].At.Sub(began) < 150*time.Millisecond, "%v", a.Events[0].At.Sub(began))
 		}
-		assert.Equal(t, w.read(), streams*promptSize)
+		assert.Equal(t, w.prefilledTokens(), streams*promptTokens)
 		questions := 0
 		for _, e := range w.engines {
 			questions += e.Listed()
 		}
-		assert.Assert(t, questions <= asked*streams, "%d", questions)
+		assert.Assert(t, questions <= maxQuestions*streams, "%d", questions)
 	})
 }
 
-// readsOfWhatIsServed returns the reads of what an instance has to know before it serves: routes, endpoints and which builds of
-// these are on trial.
-func (w *world) readsOfWhatIsServed() map[string]int {
+// startupReads returns the store reads of the kinds that an instance has to know before it serves:
+// the configuration, the endpoints and the rollouts.
+func (w *world) startupReads() map[string]int {
 	out := map[string]int{}
 	for _, kind := range []string{platform.KindConfiguration, platform.KindEndpoint, platform.KindRollout} {
 		out[kind] = w.store.ReadsOf(kind)
@@ -72,42 +73,43 @@
 	return out
 }
 
-// TestCallersWaitForTheFirstLook: at an instance that has just started, but not for a store that does not answer.
-func TestCallersWaitForTheFirstLook(t *testing.T) {
+// TestCallersWaitForFirstStoreRead checks that callers wait at an instance that has just started
+// until it has read the store, but not for a store that does not answer.
+func TestCallersWaitForFirstStoreRead(t *testing.T) {
 	run(t, 1, 2, 1, func(w *world) {
 		before := w.store.Counts()
-		read := w.readsOfWhatIsServed()
+		read := w.startupReads()
 		w.restartAll(time.Second)
-		a, err := w.do(0, logLift())
+		a, err := w.send(0, logRequest())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, http.StatusOK, a.Body)
 		time.Sleep(100 * time.Millisecond)
 		after := w.store.Counts()
-		assert.Equal(t, after.Writes, before.Writes, "its entry is as it left it")
-		for kind, n := range w.readsOfWhatIsServed() {
+		assert.Equal(t, after.Writes, before.Writes, "a restart does not rewrite the instance's entry")
+		for kind, n := range w.startupReads() {
 			assert.Equal(t, n-read[kind], 1, kind)
 		}
-		assert.Assert(t, after.Reads-before.Reads <= len(read)+1, "and the stopped requests, later")
+		assert.Assert(t, after.Reads-before.Reads <= len(read)+1, "the stopped requests may be read later")
 		w.store.SetFault(standin.Fault{Outage: standin.Silent})
 		w.restartAll(time.Second)
 		began := time.Now()
-		a, err = w.do(0, logLift())
+		a, err = w.send(0, logRequest())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, http.StatusServiceUnavailable)
 		assert.Assert(t, a.RetryAfter != "")
 		assert.Assert(t, time.Since(began) <= 500*time.Millisecond, "%v", time.Since(began))
 		began = time.Now()
-		a, err = w.do(0, logLift())
+		a, err = w.send(0, logRequest())
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, http.StatusServiceUnavailable)
-		assert.Assert(t, time.Since(began) < 10*time.Millisecond, "it is known by now that the store does not answer")
+		assert.Assert(t, time.Since(began) < 10*time.Millisecond, "the instance already knows that the store does not answer")
 	})
 }
 
-// TestLargeFleetReturns: the pattern is a fleet that starts at once before a store of limited calls, as after a loss of
-// power. 150 instances before a store that takes 350 reads and 75 writes a second are all ready within two seconds, and a
-// restart writes nothing.
-func TestLargeFleetReturns(t *testing.T) {
+// TestLargeFleetRestart guards against overloading a store with limited call rates when a whole
+// fleet starts at once, as after a power failure. 150 instances at a store that takes 350 reads and
+// 75 writes a second are all ready within two seconds, and the restart writes nothing.
+func TestLargeFleetRestart(t *testing.T) {
 	const fronts = 150
 	run(t, fronts, 6, 2, func(w *world) {
 		w.store.SetRates(standin.Rates{Reads: 350, Writes: 75})
--- a/gateway/front/rollout_test.go
+++ b/gateway/front/rollout_test.go
@@ -15,37 +15,39 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestRolloutOfGoodBuild: a service of plain endpoints moves to a good build in time, and no request is lost though the old endpoints
-// stop at once.
+// TestRolloutOfGoodBuild checks that a plain service moves to a good build in time, and that no
+// request is lost although the old endpoints stop at once.
 func TestRolloutOfGoodBuild(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{})
-		m.order()
-		m.load(100, rolloutWithin+2*time.Second, logs)
+		m.startRollout()
+		m.sendLoad(100, rolloutDuration+2*time.Second, pingsAndLogs)
 		assert.Equal(t, w.store.RolloutState("plain"), "completed")
-		assert.Check(t, m.stopped.Sub(m.ordered) < rolloutWithin, "%v", m.stopped.Sub(m.ordered))
+		assert.Check(t, m.baselineStoppedAt.Sub(m.orderedAt) < rolloutDuration, "%v", m.baselineStoppedAt.Sub(m.orderedAt))
 		assert.DeepEqual(t, m.answers, map[int]int{http.StatusOK: 1400})
-		assert.Equal(t, m.broken, 0)
-		m.boundedExposure()
+		assert.Equal(t, m.brokenOff, 0)
+		m.checkExposure()
 	})
 }
 
-// TestRolloutOfGoodEngines: streams go on from copies at the target when the old engines stop.
+// TestRolloutOfGoodEngines checks that streams resume from copies at the target build when the old
+// engines stop.
 func TestRolloutOfGoodEngines(t *testing.T) {
 	run(t, 6, 12, 1, func(w *world) {
 		m := w.newBuild("engines", standin.WorkerFault{})
-		m.order()
-		m.load(10, rolloutWithin+3*time.Second, briefs)
+		m.startRollout()
+		m.sendLoad(10, rolloutDuration+3*time.Second, briefs)
 		assert.Equal(t, w.store.RolloutState("engines"), "completed")
-		assert.Check(t, m.stopped.Sub(m.ordered) < rolloutWithin, "%v", m.stopped.Sub(m.ordered))
+		assert.Check(t, m.baselineStoppedAt.Sub(m.orderedAt) < rolloutDuration, "%v", m.baselineStoppedAt.Sub(m.orderedAt))
 		assert.Equal(t, m.answers[http.StatusOK], 150, "%v", m.answers)
-		assert.Equal(t, m.broken, 0)
+		assert.Equal(t, m.brokenOff, 0)
 		assert.Check(t, m.late <= 2, "%d streams paused", m.late)
-		m.boundedExposure()
+		m.checkExposure()
 	})
 }
 
-// TestRolloutOfBadBuild: whatever is wrong with a build, it is rolled back in time and gets no more than it may.
+// TestRolloutOfBadBuild checks for each kind of fault that a bad build is rolled back in time and
+// gets no more requests than its bound.
 func TestRolloutOfBadBuild(t *testing.T) {
 	for name, c := range map[string]struct {
 		service string
@@ -53,11 +55,11 @@
 		load    int
 		next    func(int) standin.Request
 	}{
-		"plain, half fails":            {"plain", standin.WorkerFault{Part: 0.5, FailPart: true}, 100, logs},
-		"plain, a fifth fails":         {"plain", standin.WorkerFault{Part: 0.2, FailPart: true}, 100, logs},
-		"plain, one route":             {"plain", standin.WorkerFault{Part: 0.5, FailPart: true, Route: "/log/"}, 100, logs},
-		"plain, four times slower":     {"plain", standin.WorkerFault{Part: 1, SlowTimes: 4}, 100, logs},
-		"plain, a third much slower":   {"plain", standin.WorkerFault{Part: 0.3, SlowTimes: 8}, 100, logs},
+		"plain, half fails":            {"plain", standin.WorkerFault{Part: 0.5, FailPart: true}, 100, pingsAndLogs},
+		"plain, a fifth fails":         {"plain", standin.WorkerFault{Part: 0.2, FailPart: true}, 100, pingsAndLogs},
+		"plain, one route":             {"plain", standin.WorkerFault{Part: 0.5, FailPart: true, Route: "/log/"}, 100, pingsAndLogs},
+		"plain, four times slower":     {"plain", standin.WorkerFault{Part: 1, SlowTimes: 4}, 100, pingsAndLogs},
+		"plain, a third much slower":   {"plain", standin.WorkerFault{Part: 0.3, SlowTimes: 8}, 100, pingsAndLogs},
 		"engines, half fails":          {"engines", standin.WorkerFault{Part: 0.5, FailPart: true}, 15, briefs},
 		"engines, four times slower":   {"engines", standin.WorkerFault{Part: 1, SlowTimes: 4}, 15, briefs},
 		"plain, all answers break off": {"plain", standin.WorkerFault{Part: 1, Truncate: true}, 100, pings},
@@ -65,44 +67,47 @@
 		t.Run(name, func(t *testing.T) {
 			run(t, 6, 12, 3, func(w *world) {
 				m := w.newBuild(c.service, c.fault)
-				m.order()
-				m.load(c.load, rolloutWithin+time.Second, c.next)
+				m.startRollout()
+				m.sendLoad(c.load, rolloutDuration+time.Second, c.next)
 				assert.Equal(t, w.store.RolloutState(c.service), "rolled_back")
-				m.bounded()
-				assert.Check(t, m.stopped.IsZero())
+				m.checkBadBuildBounds()
+				assert.Check(t, m.baselineStoppedAt.IsZero())
 			})
 		})
 	}
 }
 
-// TestRolloutOfBuildThatTurnsBad: a build that begins to fail in the middle is rolled back.
+// TestRolloutOfBuildThatTurnsBad checks that a build that begins to fail in the middle of a rollout
+// is rolled back.
 func TestRolloutOfBuildThatTurnsBad(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{})
-		m.order()
-		time.AfterFunc(rolloutWithin*4/10, func() {
+		m.startRollout()
+		time.AfterFunc(rolloutDuration*4/10, func() {
 			for _, worker := range m.target {
 				worker.SetFault(standin.WorkerFault{Part: 0.5, FailPart: true})
 			}
 		})
-		m.loadUntilRolledBack(100, rolloutWithin+time.Second, logs)
+		m.sendLoadUntilRolledBack(100, rolloutDuration+time.Second, pingsAndLogs)
 	})
 }
 
-// TestRolloutWithStoreAway: while the store is away a bad build is left all the same, and the outcome is written when it is back.
-func TestRolloutWithStoreAway(t *testing.T) {
+// TestRolloutDuringStoreOutage checks that a bad build is abandoned during an outage of the store,
+// and that the outcome is written afterwards.
+func TestRolloutDuringStoreOutage(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
-		m.order()
+		m.startRollout()
 		time.Sleep(100 * time.Millisecond)
 		w.store.SetFault(standin.Fault{Outage: standin.Silent})
 		time.AfterFunc(8*time.Second, func() { w.store.SetFault(standin.Fault{}) })
-		m.loadUntilRolledBack(100, rolloutWithin+2*time.Second, pings)
+		m.sendLoadUntilRolledBack(100, rolloutDuration+2*time.Second, pings)
 	})
 }
 
-// TestRolloutAfterLossOfAll: all instances are killed in the middle; those that start again know how old the order is, and end it.
-func TestRolloutAfterLossOfAll(t *testing.T) {
+// TestRolloutSurvivesRestartOfAll kills all instances in the middle of a rollout. The restarted
+// ones know the age of the order and finish it.
+func TestRolloutSurvivesRestartOfAll(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault standin.WorkerFault
 		want  string
@@ -113,7 +118,7 @@
 		t.Run(name, func(t *testing.T) {
 			run(t, 6, 1, 3, func(w *world) {
 				m := w.newBuild("plain", c.fault)
-				m.order()
+				m.startRollout()
 				time.AfterFunc(1200*time.Millisecond, func() {
 					for i := range w.fronts {
 						w.killFront(i)
@@ -122,21 +127,21 @@
 						w.startFront(i)
 					}
 				})
-				m.load(100, rolloutWithin+2*time.Second, pings)
+				m.sendLoad(100, rolloutDuration+2*time.Second, pings)
 				assert.Equal(t, w.store.RolloutState("plain"), c.want)
 				if c.want == "rolled_back" {
-					m.bounded()
+					m.checkBadBuildBounds()
 				} else {
-					assert.Check(t, m.stopped.Sub(m.ordered) < rolloutWithin, "%v", m.stopped.Sub(m.ordered))
+					assert.Check(t, m.baselineStoppedAt.Sub(m.orderedAt) < rolloutDuration, "%v", m.baselineStoppedAt.Sub(m.orderedAt))
 				}
 			})
 		})
 	}
 }
 
-// TestRolloutWhoseWriterDies: the answer to the write of the outcome is lost, or it takes effect late; the outcome is one all the
-// same.
-func TestRolloutWhoseWriterDies(t *testing.T) {
+// TestRolloutOutcomeWriteIsLost lets the write of the outcome take effect late, or its answer be
+// lost. There must still be one outcome.
+func TestRolloutOutcomeWriteIsLost(t *testing.T) {
 	for name, f := range map[string]standin.Fault{
 		"answer lost":          {LoseWrites: 1, Spare: platform.KindInstance},
 		"done two seconds on":  {LoseWrites: 1, LateMS: 2000, Spare: platform.KindInstance},
@@ -145,36 +150,36 @@
 		t.Run(name, func(t *testing.T) {
 			run(t, 6, 1, 3, func(w *world) {
 				m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
-				m.order()
-				time.Sleep(500 * time.Millisecond) // the state running is written
+				m.startRollout()
+				time.Sleep(500 * time.Millisecond) // the state "running" has been written
 				w.store.SetFault(f)
-				m.loadUntilRolledBack(100, rolloutWithin+time.Second, pings)
+				m.sendLoadUntilRolledBack(100, rolloutDuration+time.Second, pings)
 			})
 		})
 	}
 }
 
-// TestRolloutWhoseDeciderIsKilled: the instance that decides is killed before it can write.
-func TestRolloutWhoseDeciderIsKilled(t *testing.T) {
+// TestRolloutDeciderIsKilled kills the instance that decides before it can write the outcome.
+func TestRolloutDeciderIsKilled(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
-		m.order()
+		m.startRollout()
 		time.Sleep(500 * time.Millisecond)
 		w.store.SetFault(standin.Fault{Outage: standin.Reset})
 		go func() {
 			for !strings.Contains(w.logs.String(), `"decision":"roll_back"`) {
 				time.Sleep(time.Millisecond)
 			}
-			w.killFront(w.decider())
+			w.killFront(w.firstDecider())
 			time.Sleep(300 * time.Millisecond)
 			w.store.SetFault(standin.Fault{})
 		}()
-		m.loadUntilRolledBack(100, rolloutWithin+time.Second, pings)
+		m.sendLoadUntilRolledBack(100, rolloutDuration+time.Second, pings)
 	})
 }
 
-// decider returns the instance that decided first, by the logs.
-func (w *world) decider() int {
+// firstDecider returns the instance that decided first according to the logs; -1 for none.
+func (w *world) firstDecider() int {
 	for line := range strings.Lines(w.logs.String()) {
 		if strings.Contains(line, `"msg":"rollout decided"`) {
 			var l struct{ Instance string }
@@ -187,56 +192,58 @@
 	return -1
 }
 
-// TestRolloutInALargeFleet: where not all tell all, the sums of the data centres are known soon enough.
-func TestRolloutInALargeFleet(t *testing.T) {
+// TestRolloutInLargeFleet checks that the sums of the data centres are known soon enough in a fleet
+// that is too large for all instances to tell all others.
+func TestRolloutInLargeFleet(t *testing.T) {
 	run(t, 70, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
-		m.order()
-		m.loadUntilRolledBack(200, rolloutWithin+time.Second, pings)
+		m.startRollout()
+		m.sendLoadUntilRolledBack(200, rolloutDuration+time.Second, pings)
 	})
 	run(t, 70, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{})
-		m.order()
-		m.load(200, rolloutWithin+time.Second, pings)
+		m.startRollout()
+		m.sendLoad(200, rolloutDuration+time.Second, pings)
 		assert.Equal(t, w.store.RolloutState("plain"), "completed")
 		assert.Equal(t, m.answers[http.StatusOK], 2600, "%v", m.answers)
 	})
 }
 
-// TestRolloutsOfTwoServices: two orders at once, one build good and one bad.
+// TestRolloutsOfTwoServices follows two orders at once, one for a good build and one for a bad one.
 func TestRolloutsOfTwoServices(t *testing.T) {
 	run(t, 6, 12, 3, func(w *world) {
 		good := w.newBuild("engines", standin.WorkerFault{})
 		bad := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
-		good.order()
-		bad.order()
+		good.startRollout()
+		bad.startRollout()
 		var wg sync.WaitGroup
-		wg.Go(func() { good.load(10, rolloutWithin+2*time.Second, briefs) })
-		wg.Go(func() { bad.load(100, rolloutWithin+2*time.Second, logs) })
+		wg.Go(func() { good.sendLoad(10, rolloutDuration+2*time.Second, briefs) })
+		wg.Go(func() { bad.sendLoad(100, rolloutDuration+2*time.Second, pingsAndLogs) })
 		wg.Wait()
 		assert.Equal(t, w.store.RolloutState("engines"), "completed")
 		assert.Equal(t, w.store.RolloutState("plain"), "rolled_back")
-		bad.bounded()
-		assert.Equal(t, good.broken, 0)
+		bad.checkBadBuildBounds()
+		assert.Equal(t, good.brokenOff, 0)
 	})
 }
 
-// TestNewBuildWithoutOrder: endpoints of another build that no order names, as after a release, are used like the others; those that
-// are listed before their order get nothing until it is known.
+// TestNewBuildWithoutOrder checks that endpoints of another build that no order names, as after a
+// release, are used like all others. Endpoints that are listed before their order get no requests
+// until the order is known.
 func TestNewBuildWithoutOrder(t *testing.T) {
 	run(t, 3, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{})
-		m.ordered = time.Now()
-		m.list()
-		m.load(100, 6*time.Second, pings)
+		m.orderedAt = time.Now()
+		m.listTarget()
+		m.sendLoad(100, 6*time.Second, pings)
 		_, target, _, _ := m.counts()
 		assert.Check(t, target > 100, "%d", target)
 	})
 	run(t, 3, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{Part: 1, FailPart: true})
-		m.list()
-		time.AfterFunc(time.Second, m.order)
-		m.load(100, 900*time.Millisecond, pings)
+		m.listTarget()
+		time.AfterFunc(time.Second, m.startRollout)
+		m.sendLoad(100, 900*time.Millisecond, pings)
 		for _, worker := range m.target {
 			assert.Equal(t, len(worker.Runs()), 0)
 		}
@@ -244,63 +251,64 @@
 	})
 }
 
-// TestOddOrders: an order that makes no sense moves nothing, and the others hold.
-func TestOddOrders(t *testing.T) {
+// TestInvalidOrders checks that invalid orders move nothing and do not affect valid ones.
+func TestInvalidOrders(t *testing.T) {
 	run(t, 3, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{})
 		w.store.Put(platform.KindRollout, "nobody", map[string]any{"service": "nobody", "target": "v2", "durationS": 5})
 		w.store.Put(platform.KindRollout, "engines", map[string]any{"service": "engines", "target": 7})
 		w.store.Put(platform.KindRollout, "other", map[string]any{"service": "plain", "target": "v9", "durationS": 5})
 		w.store.Put(platform.KindRollout, "plain2", map[string]any{"service": "plain2", "target": "v2", "durationS": -1})
-		m.order()
-		m.load(100, rolloutWithin+time.Second, pings)
+		m.startRollout()
+		m.sendLoad(100, rolloutDuration+time.Second, pings)
 		assert.Equal(t, w.store.RolloutState("plain"), "completed")
 		assert.Equal(t, m.answers[http.StatusOK], 1300, "%v", m.answers)
 	})
 }
 
-// TestSecondOrder: after a roll-back the same service can be moved to another build.
-func TestSecondOrder(t *testing.T) {
+// TestSecondOrderAfterRollBack checks that a service can be moved again after a roll-back.
+func TestSecondOrderAfterRollBack(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{Part: 0.5, FailPart: true})
-		m.order()
-		m.load(100, 5*time.Second, pings)
+		m.startRollout()
+		m.sendLoad(100, 5*time.Second, pings)
 		assert.Equal(t, w.store.RolloutState("plain"), "rolled_back")
 		for _, worker := range m.target {
 			worker.SetFault(standin.WorkerFault{})
 		}
-		m.finished = false
-		m.ordered = time.Now()
-		w.store.PutRollout("plain", "v2", rolloutWithin+time.Second)
-		go m.obey()
+		m.loadDone = false
+		m.orderedAt = time.Now()
+		w.store.PutRollout("plain", "v2", rolloutDuration+time.Second)
+		go m.applyOutcome()
 		time.Sleep(time.Second)
-		go m.obey()
-		m.load(100, rolloutWithin+time.Second, pings)
+		go m.applyOutcome()
+		m.sendLoad(100, rolloutDuration+time.Second, pings)
 		assert.Equal(t, w.store.RolloutState("plain"), "completed")
 	})
 }
 
-// TestRolloutAtAnInstanceThatIsCutOff: an instance that hears neither the store nor the others sends nothing to the target.
-func TestRolloutAtAnInstanceThatIsCutOff(t *testing.T) {
+// TestRolloutAtIsolatedInstance checks that an instance that reaches neither the store nor the
+// others sends nothing to the target.
+func TestRolloutAtIsolatedInstance(t *testing.T) {
 	run(t, 6, 1, 3, func(w *world) {
 		m := w.newBuild("plain", standin.WorkerFault{})
-		m.order()
+		m.startRollout()
 		time.Sleep(time.Second)
 		w.net.AddCut(func(a, b string) bool {
 			away := func(n string) bool { return n == "store" || len(n) == 2 && n[0] == 'f' }
 			return a == "f0" && away(b) || b == "f0" && away(a)
 		})
-		time.Sleep(rollBackWithin/2 + 100*time.Millisecond)
+		time.Sleep(maxRollBackDelay/2 + 100*time.Millisecond)
 		before := len(m.target[0].Runs()) + len(m.target[1].Runs()) + len(m.target[2].Runs())
 		for range 200 {
-			a, err := w.do(0, standin.Request{Method: http.MethodGet, Path: "/open/1", Wait: time.Second})
+			a, err := w.send(0, standin.Request{Method: http.MethodGet, Path: "/open/1", Wait: time.Second})
 			assert.NilError(t, err)
 			assert.Equal(t, a.Status, http.StatusOK)
 		}
 		after := len(m.target[0].Runs()) + len(m.target[1].Runs()) + len(m.target[2].Runs())
 		assert.Equal(t, after, before)
 		m.mu.Lock()
-		m.finished = true
+		m.loadDone = true
 		m.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	})
--- a/gateway/front/rollout_world_test.go
+++ b/gateway/front/rollout_world_test.go
@@ -14,38 +14,41 @@
 )
 
 const (
-	rolloutWithin = 12 * time.Second
-	// exposeShare, exposeReserve and rollBackWithin are the bounds of the test's settings.
-	exposeShare, exposeReserve = 0.1, 50
-	rollBackWithin             = 5 * time.Second
-	// maxBad is how many bad answers begin the time within which a target has to be left.
+	rolloutDuration = 12 * time.Second
+	// exposureShare, exposureReserve and maxRollBackDelay repeat the bounds of [rollouts] in
+	// frontSettings.
+	exposureShare, exposureReserve = 0.1, 50
+	maxRollBackDelay               = 5 * time.Second
+	// maxBad is the number of bad answers after which the target has to be left within
+	// maxRollBackDelay.
 	maxBad = 50
 )
 
-// moving is a service that moves to another build in a world.
-type moving struct {
+// rolloutWorld is a world in which a service moves to another build.
+type rolloutWorld struct {
 	*world
-	service string
-	old     []*standin.Worker
-	target  []*standin.Worker
-	ordered time.Time
-
-	mu       sync.Mutex
-	answers  map[int]int // by status, 0 for none
-	broken   int
-	late     int
-	stopped  time.Time
-	finished bool
+	service   string
+	baseline  []*standin.Worker
+	target    []*standin.Worker
+	orderedAt time.Time
+
+	mu                sync.Mutex
+	answers           map[int]int // by status; 0 without an answer
+	brokenOff         int
+	late              int
+	baselineStoppedAt time.Time
+	loadDone          bool
 }
 
-// newBuild starts as many endpoints of a second build as there are of the first, with a fault.
-func (w *world) newBuild(service string, f standin.WorkerFault) *moving {
-	m := &moving{world: w, service: service, answers: map[int]int{}}
-	m.old = w.plains
+// newBuild starts as many endpoints of a second build as there are of the first, with a fault. They
+// are not listed yet.
+func (w *world) newBuild(service string, f standin.WorkerFault) *rolloutWorld {
+	m := &rolloutWorld{world: w, service: service, answers: map[int]int{}}
+	m.baseline = w.plains
 	if service == "engines" {
-		m.old = w.engines
+		m.baseline = w.engines
 	}
-	for i, o := range m.old {
+	for i, o := range m.baseline {
 		cfg := o.Config()
 		cfg.ID, cfg.Version = "v2-"+cfg.ID, "v2"
 		cfg.Address = fmt.Sprintf("10.3.%d.%d:80", len(service), i+1)
@@ -59,43 +62,44 @@
 	return m
 }
 
-// order gives the order, and lists the target's endpoints right after it.
-func (m *moving) order() {
-	m.ordered = time.Now()
-	m.store.PutRollout(m.service, "v2", rolloutWithin)
-	m.list()
-	go m.obey()
+// startRollout writes the order and lists the target's endpoints right after it.
+func (m *rolloutWorld) startRollout() {
+	m.orderedAt = time.Now()
+	m.store.PutRollout(m.service, "v2", rolloutDuration)
+	m.listTarget()
+	go m.applyOutcome()
 }
 
-func (m *moving) list() {
+func (m *rolloutWorld) listTarget() {
 	for _, t := range m.target {
 		m.store.Put(platform.KindEndpoint, t.Config().ID, t.Entry("ready"))
 	}
 }
 
-// obey does what the platform does with an outcome: it stops the old endpoints at once, or drains the new ones.
-func (m *moving) obey() {
+// applyOutcome acts as the platform does on the outcome: it stops the old endpoints at once when
+// the rollout is completed, and leaves them in place when it is rolled back.
+func (m *rolloutWorld) applyOutcome() {
 	for {
 		time.Sleep(5 * time.Millisecond)
 		m.mu.Lock()
-		over := m.finished
+		over := m.loadDone
 		m.mu.Unlock()
 		state := m.store.RolloutState(m.service)
 		if over || state == "rolled_back" {
 			return
 		}
 		if state == "completed" {
-			m.stopOld()
+			m.stopBaseline()
 			return
 		}
 	}
 }
 
-func (m *moving) stopOld() {
+func (m *rolloutWorld) stopBaseline() {
 	m.mu.Lock()
-	m.stopped = time.Now()
+	m.baselineStoppedAt = time.Now()
 	m.mu.Unlock()
-	for i, o := range m.old {
+	for i, o := range m.baseline {
 		m.fleet.Remove(o)
 		name := "p"
 		if m.service == "engines" {
@@ -106,52 +110,54 @@
 	}
 }
 
-// load sends requests at an even pace to all instances, for some time.
-func (m *moving) load(perSecond int, total time.Duration, next func(n int) standin.Request) {
+// sendLoad sends requests at a constant rate to all instances in turn for some time, and waits for
+// the answers.
+func (m *rolloutWorld) sendLoad(perSecond int, total time.Duration, next func(n int) standin.Request) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(total)
 	for n := 0; time.Now().Before(until); n++ {
 		at := n % len(m.fronts)
 		r := next(n)
-		wg.Go(func() { m.ask(at, r) })
+		wg.Go(func() { m.sendCounted(at, r) })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 	wg.Wait()
 	m.mu.Lock()
-	m.finished = true
+	m.loadDone = true
 	m.mu.Unlock()
 }
 
-// loadUntilRolledBack sends requests likewise, and checks that the build was rolled back within its bounds.
-func (m *moving) loadUntilRolledBack(perSecond int, total time.Duration, next func(n int) standin.Request) {
-	m.load(perSecond, total, next)
+// sendLoadUntilRolledBack is sendLoad, and checks that the build was rolled back within its bounds.
+func (m *rolloutWorld) sendLoadUntilRolledBack(perSecond int, total time.Duration, next func(n int) standin.Request) {
+	m.sendLoad(perSecond, total, next)
 	assert.Equal(m.t, m.store.RolloutState(m.service), "rolled_back")
-	m.bounded()
+	m.checkBadBuildBounds()
 }
 
-func (m *moving) ask(at int, r standin.Request) {
-	if !m.isUp(at) {
+func (m *rolloutWorld) sendCounted(at int, r standin.Request) {
+	if !m.isRunning(at) {
 		at = (at + 1) % len(m.fronts)
 	}
-	a, err := m.do(at, r)
+	a, err := m.send(at, r)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case err != nil || a.Status == http.StatusOK && !a.Whole:
-		m.broken++
+		m.brokenOff++
 	case r.Prompt != "" && a.Longest() > 700*time.Millisecond:
 		m.late++
 	}
 	m.answers[a.Status]++
 }
 
-// counts returns the requests that reached each build until the deadline, the bad answers of the target, and how long after the
-// maxBad-th of them the last request was sent there.
-func (m *moving) counts() (baseline, target, bad int, late time.Duration) {
-	deadline := m.ordered.Add(rolloutWithin)
-	for _, o := range m.old {
+// counts returns the number of requests that reached each build until the deadline, the number of
+// bad answers of the target, and how long after the maxBad-th of them the last request was sent
+// there.
+func (m *rolloutWorld) counts() (baseline, target, bad int, late time.Duration) {
+	deadline := m.orderedAt.Add(rolloutDuration)
+	for _, o := range m.baseline {
 		for _, r := range o.Runs() {
-			if r.At.After(m.ordered) && r.At.Before(deadline) {
+			if r.At.After(m.orderedAt) && r.At.Before(deadline) {
 				baseline++
 			}
 		}
@@ -178,27 +184,28 @@
 	return baseline, target, len(badAt), late
 }
 
-// bounded checks what always holds for a bad build.
-func (m *moving) bounded() {
-	m.boundedExposure()
+// checkBadBuildBounds checks the bounds on the exposure and on the roll-back of a bad build.
+func (m *rolloutWorld) checkBadBuildBounds() {
+	m.checkExposure()
 	_, _, _, late := m.counts()
-	assert.Check(m.t, late <= rollBackWithin, "%v", late)
+	assert.Check(m.t, late <= maxRollBackDelay, "%v", late)
 }
 
-// boundedExposure checks what holds for any build, since some bad ones look like good ones.
-func (m *moving) boundedExposure() {
+// checkExposure checks the bound on the requests at the target. It holds for good builds too, since
+// some bad ones look like good ones.
+func (m *rolloutWorld) checkExposure() {
 	baseline, target, bad, _ := m.counts()
 	m.t.Logf("%d requests at the baseline, %d at the target, %d bad", baseline, target, bad)
-	assert.Check(m.t, float64(target) <= exposeShare*float64(baseline+target)+exposeReserve, "%d of %d", target, baseline+target)
+	assert.Check(m.t, float64(target) <= exposureShare*float64(baseline+target)+exposureReserve, "%d of %d", target, baseline+target)
 }
 
-func pings(int) standin.Request { return ping() }
+func pings(int) standin.Request { return pingRequest() }
 
-func logs(n int) standin.Request {
+func pingsAndLogs(n int) standin.Request {
 	if n%2 == 0 {
-		return ping()
+		return pingRequest()
 	}
-	return logLift()
+	return logRequest()
 }
 
-func briefs(n int) standin.Request { return brief(fmt.Sprintf("%x", n+1000)) }
+func briefs(n int) standin.Request { return briefRequest(fmt.Sprintf("%x", n+1000)) }
--- a/gateway/front/rollouts.go
+++ b/gateway/front/rollouts.go
@@ -10,33 +10,36 @@
 	"github.com/agateway/agateway/gateway/rollouts"
 )
 
-// buildRollouts makes the parts that move services to other builds, where the settings name a bound on what a bad build may get.
-func (f *Front) buildRollouts(following follow.Options) {
-	set := f.settings.Rollouts
-	if !f.settings.Mechanisms.Rollouts || set.Share <= 0 && set.Reserve <= 0 {
+// buildRollouts creates the components that move services to other builds. It does nothing where
+// the settings switch rollouts off or give no bound on the requests that a bad build may get.
+func (f *Front) buildRollouts(followOptions follow.Options) {
+	bounds := f.settings.Rollouts
+	if !f.settings.Mechanisms.Rollouts || bounds.Share <= 0 && bounds.Reserve <= 0 {
 		return
 	}
 	s := rollout.DefaultSettings()
-	s.ExposureShare, s.ExposureReserve, s.MaxRollBackDelay = set.Share, set.Reserve, set.RollBack
+	s.ExposureShare, s.ExposureReserve, s.MaxRollBackDelay = bounds.Share, bounds.Reserve, bounds.RollBack
 	f.rollouts = rollouts.New(rollouts.Options{
 		Settings: s, Self: f.settings.Instance.ID, DataCentre: f.settings.Instance.DataCentre, Store: f.store,
 		Others:   func() []rollout.Source { return f.exchange.RolloutSources() },
-		ProofAge: func() (time.Duration, bool) { return f.orders.Age() },
-		Relist:   func() { f.endpoints.Publish() }, Settle: f.settle, Tell: func() { f.exchange.TellDecision() },
+		ProofAge: func() (time.Duration, bool) { return f.rolloutOrders.Age() },
+		Relist:   func() { f.endpoints.Publish() }, Settle: f.timeToCopy, Tell: func() { f.exchange.TellDecision() },
 		Clock: f.env.Clock, Log: f.telemetry.Log, Scope: f.telemetry.Scope,
 	})
-	f.orders = follow.NewRollouts(following, f.rollouts.Orders)
+	f.rolloutOrders = follow.NewRollouts(followOptions, f.rollouts.Orders)
 }
 
-// settleParts: a prompt of one part in so many of an engine's memory is taken for a long one.
-const settleParts = 8
+// longPromptDivisor defines a long prompt: one that takes this fraction of an engine's memory.
+const longPromptDivisor = 8
 
-// settleSpare is the time that a copy takes once a stream has begun.
-const settleSpare = 300 * time.Millisecond
+// copyTime is the time that a copy of a stream's memory takes once the stream has begun.
+const copyTime = 300 * time.Millisecond
 
-// settle returns how long most streams of a service take until a copy of their memory lets them go on elsewhere. Those that wait
-// longer for their first event begin again: waiting for all of them would expose the target to more requests.
-func (f *Front) settle(name string) time.Duration {
+// timeToCopy returns how long most streams of a service take until a copy of their memory lets them
+// resume at another engine; 0 if the service has no streams or is not known. Streams that wait
+// longer for their first event start again from the beginning: waiting for all of them would expose
+// the target build to more requests.
+func (f *Front) timeToCopy(name string) time.Duration {
 	table, _ := f.configuration.Table()
 	if table == nil {
 		return 0
@@ -45,19 +48,19 @@
 	if service == nil || service.Engine == nil {
 		return 0
 	}
-	usual, _ := f.placement.Expected(name, service.Engine.KVCapacityTokens/settleParts)
-	return usual/2 + settleSpare
+	expected, _ := f.placement.Expected(name, service.Engine.KVCapacityTokens/longPromptDivisor)
+	return expected/2 + copyTime
 }
 
-// toldRollouts returns what is counted of rollouts, as the exchange sees it.
-func (f *Front) toldRollouts() exchange.Rollouts {
+// exchangeRollouts returns the rollouts for the exchange; nil where rollouts are switched off.
+func (f *Front) exchangeRollouts() exchange.Rollouts {
 	if f.rollouts == nil {
 		return nil
 	}
 	return f.rollouts
 }
 
-// forwardRollouts returns the rollouts as forwarding sees them.
+// forwardRollouts returns the rollouts for the forwarder; nil where rollouts are switched off.
 func (f *Front) forwardRollouts() forward.Rollouts {
 	if f.rollouts == nil {
 		return nil
--- a/gateway/front/serve.go
+++ b/gateway/front/serve.go
@@ -14,20 +14,20 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// compressLeast is the size of an answer to another instance, in bytes, from which it is compressed: smaller ones
-// fit a packet as they are.
-const compressLeast = 1200
+// compressMinBytes is the size from which answers to other instances are compressed. Smaller ones
+// fit one packet uncompressed.
+const compressMinBytes = 1200
 
-// serve begins to answer on all addresses.
+// serve starts the servers for all addresses.
 func (f *Front) serve(l *listeners) {
-	f.callers = newCallers(f.forwarder, f.configuration, l.callers, f.telemetry.Log)
-	f.work.Go(f.callers.run)
-	f.handle(l.ready, func(r chi.Router) { r.Get(platform.ReadyPath, f.answerReady) })
-	f.handle(l.directory, func(r chi.Router) { r.Get(platform.ResolvePath, f.answerResolve) })
-	path, handler := peerv1connect.NewPeerServiceHandler(&relay.Server{Relay: f.relay}, connect.WithCompressMinBytes(compressLeast))
-	f.handle(l.calls, func(r chi.Router) { r.Handle(path+"*", handler) })
+	f.callers = newCallerServers(f.forwarder, f.configuration, l.callers, f.telemetry.Log)
+	f.goroutines.Go(f.callers.run)
+	f.serveRoutes(l.ready, func(r chi.Router) { r.Get(platform.ReadyPath, f.answerReady) })
+	f.serveRoutes(l.directory, func(r chi.Router) { r.Get(platform.ResolvePath, f.answerResolve) })
+	path, handler := peerv1connect.NewPeerServiceHandler(&relay.Server{Relay: f.relay}, connect.WithCompressMinBytes(compressMinBytes))
+	f.serveRoutes(l.peerCalls, func(r chi.Router) { r.Handle(path+"*", handler) })
 	if l.metrics != nil {
-		f.handle(l.metrics, func(r chi.Router) {
+		f.serveRoutes(l.metrics, func(r chi.Router) {
 			r.Method(http.MethodGet, "/metrics", f.telemetry.Metrics)
 			r.Get(StatePath, f.answerState)
 			r.Post(ReleasePath, f.answerRelease)
@@ -35,17 +35,18 @@
 	}
 }
 
-// smallTimeout bounds the header of a small call, and its idle connections.
-const smallTimeout = 10 * time.Second
+// auxiliaryTimeout bounds the reading of a request's header, and the idle time of a connection, on
+// all addresses but the one for callers.
+const auxiliaryTimeout = 10 * time.Second
 
-func (f *Front) handle(l net.Listener, routes func(chi.Router)) {
+func (f *Front) serveRoutes(l net.Listener, routes func(chi.Router)) {
 	r := chi.NewRouter()
 	routes(r)
-	server := &http.Server{Handler: r, ReadHeaderTimeout: smallTimeout, IdleTimeout: smallTimeout, Protocols: new(http.Protocols)}
+	server := &http.Server{Handler: r, ReadHeaderTimeout: auxiliaryTimeout, IdleTimeout: auxiliaryTimeout, Protocols: new(http.Protocols)}
 	server.Protocols.SetHTTP1(true)
-	server.Protocols.SetUnencryptedHTTP2(true) // between instances
+	server.Protocols.SetUnencryptedHTTP2(true) // for calls between instances
 	f.servers = append(f.servers, server)
-	f.work.Go(func() {
+	f.goroutines.Go(func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			f.telemetry.Log.WithError(err).Error("listener failed")
 		}
@@ -60,8 +61,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// addressesMost is how many addresses a caller is told at the most.
-const addressesMost = 64
+// maxAddresses is how many addresses the directory returns at most.
+const maxAddresses = 64
 
 func (f *Front) answerResolve(w http.ResponseWriter, r *http.Request) {
 	place := platform.ReadPlace(r.URL.Query())
@@ -70,12 +71,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	body, err := platform.EncodeAddresses(addresses[:min(len(addresses), addressesMost)], f.settings.Bounds.Keep)
+	body, err := platform.EncodeAddresses(addresses[:min(len(addresses), maxAddresses)], f.settings.Bounds.Keep)
 	if err != nil {
 		f.telemetry.Log.WithError(err).Error("addresses can't be encoded")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // the caller may be gone
+	_, _ = w.Write(body) // fails if the caller is gone
 }
--- a/gateway/front/state.go
+++ b/gateway/front/state.go
@@ -13,36 +13,39 @@
 	"github.com/agateway/agateway/gateway/rollouts"
 )
 
-// StatePath is where an instance tells what it believes, on its metrics address.
+// StatePath is the path on the metrics address where an instance shows its [State].
 const StatePath = "/state"
 
-// ReleasePath is where a stopped request is let go, by its content, on the metrics address of any instance.
+// ReleasePath is the path on the metrics address of any instance where a stopped request, named by
+// the hash of its content, is released.
 const ReleasePath = "/stopped/{content}/release"
 
-// State is what an instance believes now.
+// State is a snapshot of what an instance knows, as the operator's tool reads it.
 type State struct {
 	Instance string `json:"instance"`
 	Ready    bool   `json:"ready"`
 	Stopping bool   `json:"stopping"`
-	// Configuration is the version in force, 0 for none; AgeMS is how long ago it was known to be the
-	// newest, in milliseconds.
+	// Configuration is the version in force; 0 for none. AgeMS is how many milliseconds ago it was
+	// known to be the newest.
 	Configuration uint64 `json:"configuration"`
 	AgeMS         int64  `json:"age_ms"`
 	Open          int    `json:"open_requests"`
 	StoreCalls    uint64 `json:"store_calls"`
-	// Follows is the instance that is asked in place of the store; empty for the store itself. CutOff tells that
-	// the store does not answer this instance.
+	// Follows is the instance that is followed instead of the store; empty for the store itself.
+	// CutOff says that the store does not answer this instance.
 	Follows   string          `json:"follows"`
 	CutOff    bool            `json:"cut_off"`
 	Peers     []exchange.Peer `json:"peers"`
 	Endpoints []EndpointState `json:"endpoints"`
-	// Stopped are the requests that are stopped, or were and have not been served since.
+	// Stopped are the requests that are stopped now, and those that were and have not been served
+	// since.
 	Stopped []crashes.State `json:"stopped"`
-	// Rollouts are the orders to move services to other builds.
+	// Rollouts are the orders to move services to other builds; empty where rollouts are switched
+	// off.
 	Rollouts []rollouts.State `json:"rollouts"`
 }
 
-// EndpointState is what is believed of an endpoint.
+// EndpointState is what an instance knows of an endpoint.
 type EndpointState struct {
 	ID         string `json:"id"`
 	Service    string `json:"service"`
@@ -50,19 +53,20 @@
 	DataCentre string `json:"data_centre"`
 	Build      string `json:"build,omitempty"`
 	Leaving    bool   `json:"leaving"`
-	// Suspected endpoints failed this instance a short while ago.
+	// Suspected says that the endpoint failed requests of this instance a short time ago.
 	Suspected bool `json:"suspected"`
-	// Load is the number of requests believed to be there, Open those of this instance.
+	// Load is the estimated number of requests at the endpoint, of all instances. Open is the
+	// number of those of this instance.
 	Load int `json:"load"`
 	Open int `json:"open"`
 }
 
-// State returns what the instance believes now.
+// State returns a snapshot of what the instance knows.
 func (f *Front) State() State {
 	s := State{
 		Instance: f.settings.Instance.ID, Ready: f.ready(), Stopping: f.draining.Load(),
 		Open: f.forwarder.Open(), StoreCalls: f.store.Calls(), Peers: f.exchange.Others(),
-		Follows: f.relay.Follows(), CutOff: f.access() == source.StoreUnreachable, Stopped: f.crashes.State(),
+		Follows: f.relay.Follows(), CutOff: f.storeAccess() == source.StoreUnreachable, Stopped: f.crashes.State(),
 	}
 	if table, age := f.configuration.Table(); table != nil {
 		s.Configuration, s.AgeMS = table.Version(), age.Milliseconds()
@@ -82,11 +86,11 @@
 func (f *Front) answerState(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(f.State()); err != nil {
-		f.telemetry.Log.WithError(err).Debug("state not delivered")
+		f.telemetry.Log.WithError(err).Debug("could not write the state")
 	}
 }
 
-// answerRelease lets a stopped request go, at all instances.
+// answerRelease releases a stopped request at all instances.
 func (f *Front) answerRelease(w http.ResponseWriter, r *http.Request) {
 	if f.crashes.ReleaseContent(chi.URLParam(r, "content")) == 0 {
 		http.Error(w, "no stopped request has this content", http.StatusNotFound)
--- a/gateway/front/world_test.go
+++ b/gateway/front/world_test.go
@@ -21,11 +21,12 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// world is a store, instances, engines and plain endpoints in virtual time.
+// world is a simulated deployment in virtual time: a store, instances, engines and plain endpoints.
 type world struct {
 	t *testing.T
-	// outer is the test in which the world was built: what it checks fails there.
-	outer   *testing.T
+	// outerT is the test that created the world, outside of the synctest bubble. Checks may fail on
+	// it or on t.
+	outerT  *testing.T
 	net     *memnet.Net
 	began   time.Time
 	store   *standin.Store
@@ -36,14 +37,15 @@
 	plains  []*standin.Worker
 	stops   []func()
 	logs    *lockedBuffer
-	// settings are added to those of each instance, and plainWork is how long a plain request takes.
+	// settings is appended to the settings of each instance. plainWork is how long a plain request
+	// takes.
 	settings  string
 	plainWork time.Duration
-	// frontsMu guards fronts where instances are killed while others ask.
+	// frontsMu guards fronts in tests that kill instances while requests are sent.
 	frontsMu sync.Mutex
 
-	mu   sync.Mutex
-	next int
+	mu     sync.Mutex
+	lastID int
 }
 
 type lockedBuffer struct {
@@ -64,32 +66,32 @@
 }
 
 const (
-	host        = "desk.example"
-	key         = "key-of-the-desk"
-	keyOfField  = "key-of-the-field"
-	events      = 60
-	step        = 50 * time.Millisecond
-	promptSize  = 8000
-	plainWork   = 20 * time.Millisecond
-	slots       = 8
-	dataCentres = 3
-	// routeLog is the index of the route of calls that must not be repeated.
-	routeLog = 2
+	routeHost     = "desk.example"
+	deskKey       = "key-of-the-desk"
+	fieldKey      = "key-of-the-field"
+	streamEvents  = 60
+	eventInterval = 50 * time.Millisecond
+	promptTokens  = 8000
+	plainWork     = 20 * time.Millisecond
+	endpointSlots = 8
+	dataCentres   = 3
+	// logRouteIndex is the index of the route for calls that must not be repeated.
+	logRouteIndex = 2
 )
 
 func dc(i int) string { return fmt.Sprint("dc", i%dataCentres) }
 
-// run builds a world, lets it come together, and runs f in it.
+// run creates a world, waits until the instances know each other, and runs f in it.
 func run(t *testing.T, fronts, engines, plains int, f func(*world)) {
 	runWith(t, fronts, engines, plains, func(*world) {}, f)
 }
 
-// runWith does the same in a world that prepare has changed.
+// runWith is run in a world that prepare has changed before anything starts.
 func runWith(t *testing.T, fronts, engines, plains int, prepare, f func(*world)) {
 	outer := t
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{
-			t: t, outer: outer, net: memnet.New(), began: time.Now(), store: standin.NewStore(0), fleet: standin.NewFleet(), logs: &lockedBuffer{},
+			t: t, outerT: outer, net: memnet.New(), began: time.Now(), store: standin.NewStore(0), fleet: standin.NewFleet(), logs: &lockedBuffer{},
 			plainWork: plainWork,
 		}
 		w.config = configuration()
@@ -99,23 +101,23 @@
 		assert.NilError(t, err)
 		w.stops = append(w.stops, standin.Serve(l, w.store))
 		for i := range engines {
-			w.engines = append(w.engines, w.engine(i, ""))
+			w.engines = append(w.engines, w.newEngine(i, ""))
 		}
 		for i := range plains {
-			w.plains = append(w.plains, w.plain(i))
+			w.plains = append(w.plains, w.newPlain(i))
 		}
 		for i := range fronts {
-			w.fronts = append(w.fronts, w.front(i))
+			w.fronts = append(w.fronts, w.newFront(i))
 		}
-		defer w.end()
+		defer w.tearDown()
 		time.Sleep(3 * time.Second)
 		f(w)
 	})
 }
 
-// end takes the world down.
-func (w *world) end() {
-	if w.t.Failed() || w.outer.Failed() {
+// tearDown ends the world, and prints the logs if the test failed.
+func (w *world) tearDown() {
+	if w.t.Failed() || w.outerT.Failed() {
 		w.t.Log(w.logs.String())
 	}
 	w.store.SetFault(standin.Fault{})
@@ -128,42 +130,42 @@
 		stop()
 	}
 	w.net.CloseAll()
-	time.Sleep(2 * time.Hour) // what was on its way ends, also on connections that went silent
+	time.Sleep(2 * time.Hour) // outlasts all timeouts, also those of silent connections
 }
 
 func configuration() route.Configuration {
-	engine := &route.Engine{Slots: slots, KVCapacityTokens: 88000, ContinuousCopies: true, CopiesOnRequest: true, CopyTTL: 4 * time.Second}
+	engine := &route.Engine{Slots: endpointSlots, KVCapacityTokens: 88000, ContinuousCopies: true, CopiesOnRequest: true, CopyTTL: 4 * time.Second}
 	to := func(s string) []route.Target { return []route.Target{{Service: s, Weight: 1}} }
 	return route.Configuration{
 		Version: 3,
 		Routes: []route.Route{
-			{Name: "brief", Host: host, Prefix: "/brief/", Targets: to("engines"), Stream: true, RetryPolicy: route.Resumable,
+			{Name: "brief", Host: routeHost, Prefix: "/brief/", Targets: to("engines"), Stream: true, RetryPolicy: route.Resumable,
 				Timeout: 25 * time.Second, TargetLatency: 4500 * time.Millisecond, TargetGap: 700 * time.Millisecond, MaxAttempts: 5},
-			{Name: "note", Host: host, Prefix: "/note/", Targets: to("engines"), Stream: true, Timeout: 25 * time.Second, TargetLatency: 4500 * time.Millisecond, MaxAttempts: 3},
-			{Name: "log", Host: host, Prefix: "/log/", Targets: to("plain"), RetryPolicy: route.AtMostOnce, Timeout: 1500 * time.Millisecond, TargetLatency: 300 * time.Millisecond, MaxAttempts: 3},
-			{Name: "ping", Host: host, Prefix: "/ping/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: 1500 * time.Millisecond, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2},
-			{Name: "open", Host: host, Prefix: "/open/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: 1500 * time.Millisecond, MaxAttempts: 2, Public: true},
+			{Name: "note", Host: routeHost, Prefix: "/note/", Targets: to("engines"), Stream: true, Timeout: 25 * time.Second, TargetLatency: 4500 * time.Millisecond, MaxAttempts: 3},
+			{Name: "log", Host: routeHost, Prefix: "/log/", Targets: to("plain"), RetryPolicy: route.AtMostOnce, Timeout: 1500 * time.Millisecond, TargetLatency: 300 * time.Millisecond, MaxAttempts: 3},
+			{Name: "ping", Host: routeHost, Prefix: "/ping/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: 1500 * time.Millisecond, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2},
+			{Name: "open", Host: routeHost, Prefix: "/open/", Targets: to("plain"), RetryPolicy: route.Idempotent, Timeout: 1500 * time.Millisecond, MaxAttempts: 2, Public: true},
 		},
 		Services: []route.Service{{Name: "engines", MaxConnections: 200, Engine: engine}, {Name: "plain", MaxConnections: 100}},
 		Teams: []route.Team{
-			{Name: "desk", Keys: []string{key, "another-key"}}, {Name: "field", Keys: []string{keyOfField}},
+			{Name: "desk", Keys: []string{deskKey, "another-key"}}, {Name: "field", Keys: []string{fieldKey}},
 		},
 		Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 2 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
 }
 
-// engine starts a model worker; suffix tells a new incarnation at the same address.
-func (w *world) engine(i int, suffix string) *standin.Worker {
-	return w.worker(fmt.Sprint("e", i), suffix, standin.WorkerConfig{
-		Service: "engines", Address: fmt.Sprintf("10.1.0.%d:80", i+1), Zone: dc(i), Slots: slots, Prefill: 8, Step: step, Events: events,
+// newEngine starts a model worker. suffix distinguishes a new incarnation at the same address.
+func (w *world) newEngine(i int, suffix string) *standin.Worker {
+	return w.newWorker(fmt.Sprint("e", i), suffix, standin.WorkerConfig{
+		Service: "engines", Address: fmt.Sprintf("10.1.0.%d:80", i+1), Zone: dc(i), Slots: endpointSlots, Prefill: 8, Step: eventInterval, Events: streamEvents,
 	})
 }
 
-func (w *world) plain(i int) *standin.Worker {
-	return w.worker(fmt.Sprint("p", i), "", standin.WorkerConfig{Service: "plain", Address: fmt.Sprintf("10.2.0.%d:80", i+1), Zone: dc(i), Slots: slots, Work: w.plainWork})
+func (w *world) newPlain(i int) *standin.Worker {
+	return w.newWorker(fmt.Sprint("p", i), "", standin.WorkerConfig{Service: "plain", Address: fmt.Sprintf("10.2.0.%d:80", i+1), Zone: dc(i), Slots: endpointSlots, Work: w.plainWork})
 }
 
-func (w *world) worker(node, suffix string, cfg standin.WorkerConfig) *standin.Worker {
+func (w *world) newWorker(node, suffix string, cfg standin.WorkerConfig) *standin.Worker {
 	cfg.ID = "i-" + node + suffix
 	worker := w.fleet.NewWorker(cfg)
 	w.net.SetCrashed(node, false)
@@ -174,10 +176,10 @@
 	return worker
 }
 
-// frontIP is the address of an instance, of which there may be hundreds.
+// frontIP returns the address of an instance; there may be hundreds of them.
 func frontIP(i int) string {
-	const inANet = 250
-	return fmt.Sprintf("10.0.%d.%d", i/inANet, i%inANet+1)
+	const instancesPerSubnet = 250
+	return fmt.Sprintf("10.0.%d.%d", i/instancesPerSubnet, i%instancesPerSubnet+1)
 }
 
 func frontAddress(i int) string     { return frontIP(i) + ":80" }
@@ -186,7 +188,7 @@
 
 func metricsAddress(i int) string { return frontIP(i) + ":84" }
 
-// frontSettings are the settings of an instance.
+// frontSettings returns the settings of an instance.
 func frontSettings(i int) string {
 	return fmt.Sprintf(`
 [instance]
@@ -211,8 +213,8 @@
 `, i, dc(i), frontAddress(i), readyAddress(i), directoryAddress(i), frontIP(i), metricsAddress(i))
 }
 
-// front starts an instance.
-func (w *world) front(i int) *front.Front {
+// newFront starts an instance.
+func (w *world) newFront(i int) *front.Front {
 	s, err := settings.ParseFront([]byte(frontSettings(i) + w.settings))
 	assert.NilError(w.t, err)
 	node := fmt.Sprint("f", i)
@@ -223,7 +225,7 @@
 	return f
 }
 
-// killFront ends an instance as a kill does.
+// killFront ends an instance as SIGKILL does.
 func (w *world) killFront(i int) {
 	w.net.Crash(fmt.Sprint("f", i))
 	w.frontsMu.Lock()
@@ -234,20 +236,20 @@
 
 // startFront starts an instance again that was killed.
 func (w *world) startFront(i int) {
-	f := w.front(i)
+	f := w.newFront(i)
 	w.frontsMu.Lock()
 	defer w.frontsMu.Unlock()
 	w.fronts[i] = f
 }
 
-// isUp tells whether an instance runs.
-func (w *world) isUp(i int) bool {
+// isRunning reports whether an instance runs.
+func (w *world) isRunning(i int) bool {
 	w.frontsMu.Lock()
 	defer w.frontsMu.Unlock()
 	return w.fronts[i] != nil
 }
 
-// crashEngine resets all connections of an engine and loses its memory.
+// crashEngine ends an engine: all its connections are reset and its memory is lost.
 func (w *world) crashEngine(id string) {
 	for i, e := range w.engines {
 		if e.Config().ID == id {
@@ -259,8 +261,8 @@
 	w.t.Fatalf("no engine %s", id)
 }
 
-// darken makes an engine silent: nothing it sends arrives, and connections to it hang.
-func (w *world) darken(id string) {
+// silenceEngine makes an engine silent: nothing that it sends arrives, and connections to it hang.
+func (w *world) silenceEngine(id string) {
 	for i, e := range w.engines {
 		if e.Config().ID == id {
 			w.fleet.Remove(e)
@@ -272,23 +274,23 @@
 	w.t.Fatalf("no engine %s", id)
 }
 
-func (w *world) id() string {
+func (w *world) newRequestID() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next++
-	return fmt.Sprintf("%016x", w.next)
+	w.lastID++
+	return fmt.Sprintf("%016x", w.lastID)
 }
 
-func (w *world) do(i int, r standin.Request) (standin.Answer, error) {
-	return w.doWithin(context.Background(), i, r)
+func (w *world) send(i int, r standin.Request) (standin.Answer, error) {
+	return w.sendContext(context.Background(), i, r)
 }
 
-func (w *world) doWithin(ctx context.Context, i int, r standin.Request) (standin.Answer, error) {
+func (w *world) sendContext(ctx context.Context, i int, r standin.Request) (standin.Answer, error) {
 	if r.Host == "" {
-		r.Host = host
+		r.Host = routeHost
 	}
 	if r.ID == "" {
-		r.ID = w.id()
+		r.ID = w.newRequestID()
 	}
 	if r.Method == "" {
 		r.Method = http.MethodPost
@@ -296,23 +298,23 @@
 	return standin.Do(ctx, w.net.Node("caller").Dial, frontAddress(i), r)
 }
 
-func brief(prompt string) standin.Request {
-	return standin.Request{Path: "/brief/1", Key: key, Body: "the case", Wait: 25 * time.Second, Prompt: prompt, Tokens: promptSize}
+func briefRequest(prompt string) standin.Request {
+	return standin.Request{Path: "/brief/1", Key: deskKey, Body: "the case", Wait: 25 * time.Second, Prompt: prompt, Tokens: promptTokens}
 }
 
-func logLift() standin.Request {
-	return standin.Request{Path: "/log/1?x=%2F", Key: key, Body: "lift", Wait: 3 * time.Second}
+func logRequest() standin.Request {
+	return standin.Request{Path: "/log/1?x=%2F", Key: deskKey, Body: "lift", Wait: 3 * time.Second}
 }
 
-func ping() standin.Request {
-	return standin.Request{Method: http.MethodGet, Path: "/ping/1", Key: key, Wait: 3 * time.Second}
+func pingRequest() standin.Request {
+	return standin.Request{Method: http.MethodGet, Path: "/ping/1", Key: deskKey, Wait: 3 * time.Second}
 }
 
-// stream asks for a brief in the background.
-func (w *world) stream(i int, r standin.Request) chan standin.Answer {
+// startStream sends a request in the background and returns the channel for its answer.
+func (w *world) startStream(i int, r standin.Request) chan standin.Answer {
 	out := make(chan standin.Answer, 1)
 	go func() {
-		a, err := w.do(i, r)
+		a, err := w.send(i, r)
 		if err != nil {
 			a.Body = err.Error()
 		}
@@ -321,11 +323,11 @@
 	return out
 }
 
-// serving returns the engine that works on a prompt's stream, and the one that keeps its copy.
-func (w *world) serving() (engine, copyAt string) {
+// streamEngines returns the engine that runs a stream, and the one that holds its copy.
+func (w *world) streamEngines() (engine, copyAt string) {
 	for _, e := range w.engines {
 		for _, r := range e.Runs() {
-			if r.Ended == "failed" { // still at work
+			if r.Ended == "failed" { // still running
 				engine, copyAt = e.Config().ID, r.CopyTo
 			}
 		}
@@ -338,8 +340,8 @@
 	return engine, copyAt
 }
 
-// read sums up the prompt tokens that engines have read.
-func (w *world) read() int {
+// prefilledTokens returns the number of prompt tokens that all engines have prefilled.
+func (w *world) prefilledTokens() int {
 	total := 0
 	for _, e := range w.engines {
 		for _, r := range e.Runs() {
@@ -349,7 +351,7 @@
 	return total
 }
 
-func (w *world) plainRuns(id string) int {
+func (w *world) plainRunCount(id string) int {
 	n := 0
 	for _, p := range w.plains {
 		for _, r := range p.Runs() {
@@ -361,7 +363,7 @@
 	return n
 }
 
-func (w *world) moved() int {
+func (w *world) movedCopies() int {
 	n := 0
 	for _, e := range w.engines {
 		n += e.Moved()
@@ -369,20 +371,21 @@
 	return n
 }
 
-// whole checks that a stream has every event once, from one prompt, after the last one held.
-func whole(t *testing.T, a standin.Answer, prompt string, after int) {
+// assertWhole checks that a stream has every event after lastEvent once, in order and from one
+// prompt.
+func assertWhole(t *testing.T, a standin.Answer, prompt string, lastEvent int) {
 	t.Helper()
 	assert.Equal(t, a.Status, http.StatusOK, a.Body)
 	assert.Assert(t, a.Whole)
 	assert.Assert(t, strings.HasPrefix(a.Signed, "signed-by-"))
-	assert.Equal(t, len(a.Events), events-after)
+	assert.Equal(t, len(a.Events), streamEvents-lastEvent)
 	for i, e := range a.Events {
-		assert.Equal(t, e.ID, after+i+1)
-		assert.Equal(t, e.Data, fmt.Sprintf("%s %d", prompt, after+i+1))
+		assert.Equal(t, e.ID, lastEvent+i+1)
+		assert.Equal(t, e.Data, fmt.Sprintf("%s %d", prompt, lastEvent+i+1))
 	}
 }
 
-// TestState: what an instance believes can be looked at.
+// TestState checks the snapshot of what an instance knows.
 func TestState(t *testing.T) {
 	run(t, 2, 1, 1, func(w *world) {
 		s := w.fronts[0].State()
@@ -399,7 +402,7 @@
 	return err == nil && a.Status == http.StatusOK
 }
 
-func (w *world) entry(i int) []string {
+func (w *world) resolve(i int) []string {
 	a, _ := standin.Resolve(context.Background(), w.net.Node("caller").Dial, directoryAddress(i), "r", dc(i))
 	return a
 }
