--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -127,7 +127,7 @@
 	})
 	run := func(ctx context.Context, c *once.Call) once.Result { return d.Pipeline.RunCall(ctx, c) }
 	d.Tickets = once.NewTickets(once.Options{
-		Key: []byte(s.Keys.Cursor), Entries: s.Tickets.Entries, Bytes: s.Tickets.Bytes, BodyKept: s.Tickets.BodyKept,
+		Key: []byte(s.Keys.Cursor), MaxEntries: s.Tickets.Entries, MaxOutcomeBytes: s.Tickets.Bytes, MaxKeptBodyBytes: s.Tickets.BodyKept,
 		TTL: s.Tickets.TTL, Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Run: run, Scope: t.Scope,
 	})
 	met := make(chan struct{})
@@ -141,7 +141,7 @@
 	})
 	d.Pipeline = pipeline.New(&pipeline.Deps{
 		Settings: s, Config: d.Config, Backends: d.Backends, Client: client, Crashes: d.crashes, Fleet: d.Fleet, Running: d.running,
-		Tickets: d.Tickets, Claims: &once.Claims{Platform: d.platform, Run: run, BodyKept: s.Tickets.BodyKept, Scope: t.Scope},
+		Tickets: d.Tickets, Claims: &once.Claims{Platform: d.platform, Run: run, MaxKeptBodyBytes: s.Tickets.BodyKept, Scope: t.Scope},
 		Tracer: t.Tracer, Scope: t.Scope, Log: t.Log,
 	})
 	d.peering = &peering.Service{
@@ -259,7 +259,7 @@
 // run starts the parts that work on their own.
 func (d *Daemon) run(ctx context.Context) {
 	sweeper := &once.Sweeper{
-		Platform: d.platform, Holds: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Every: sweepEvery, PerSecond: sweepRate, Scope: d.telemetry.Scope,
+		Platform: d.platform, Enabled: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Interval: sweepEvery, DeletesPerSecond: sweepRate, Scope: d.telemetry.Scope,
 	}
 	parts := []func(context.Context){d.shareEndpoints, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.follow, d.crashes.Run, d.peering.AskCrashes}
 	if d.settings.Instance.Register {
--- a/gateway/once/claims.go
+++ b/gateway/once/claims.go
@@ -15,62 +15,66 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// KindClaim is the kind of claims in the platform.
+// KindClaim is the kind of the objects that hold claims in the platform's store.
 const KindClaim = "claim"
 
-// claimState says what became of a claimed call.
+// claimState says whether a claimed call ran.
 type claimState string
 
 const (
-	claimHeld   claimState = "held" // it may have run
+	claimHeld   claimState = "held" // the call may have run
 	claimRan    claimState = "ran"
-	claimNotRun claimState = "not_run" // released: it may be claimed again
+	claimNotRun claimState = "not_run" // released: the key may be claimed again
 )
 
-// claim is an object in the platform: who may run a call.
+// claim is the object in the platform's store that gives one request the right to run a call.
 type claim struct {
-	// Nonce tells our own claim after a lost answer.
-	Nonce   string     `json:"nonce"`
-	Request string     `json:"request"`
-	State   claimState `json:"state"`
-	Status  int        `json:"status,omitempty"`
-	Type    string     `json:"content_type,omitempty"`
-	Body    []byte     `json:"body,omitempty"`
-	At      time.Time  `json:"at"`
+	// Nonce is random, so that a writer recognizes its own claim after a lost answer.
+	Nonce       string     `json:"nonce"`
+	Request     string     `json:"request"`
+	State       claimState `json:"state"`
+	Status      int        `json:"status,omitempty"`
+	ContentType string     `json:"content_type,omitempty"`
+	Body        []byte     `json:"body,omitempty"`
+	ClaimedAt   time.Time  `json:"at"`
 }
 
-// Claims runs calls under callers' own keys. It is safe for concurrent use.
+// Claims runs calls under idempotency keys of callers. It is safe for concurrent use.
 type Claims struct {
 	Platform platform.Client
-	Run      Runner
-	// BodyKept bounds the response body that is kept, in bytes.
-	BodyKept int
-	Scope    tally.Scope
+	Run      RunFunc
+	// MaxKeptBodyBytes bounds the response body that is kept, in bytes. The outcome of a call
+	// with a longer body is kept without the body.
+	MaxKeptBodyBytes int
+	Scope            tally.Scope
 }
 
-// Bounds of the calls to the platform for one claim.
+// claimRetryDelay is the time between attempts to make a claim, and the first delay of writes in
+// the background, which doubles. backgroundTimeout bounds all attempts of such a write.
 const (
-	claimTries   = 4
-	claimPause   = 50 * time.Millisecond
-	settleWithin = 10 * time.Second
+	maxClaimAttempts  = 4
+	claimRetryDelay   = 50 * time.Millisecond
+	backgroundTimeout = 10 * time.Second
 )
 
-// Do runs a call under a key unless it was claimed before.
+// Do runs a call under a key, unless the key has been claimed before. If the earlier call ran, Do
+// returns its outcome. The error is [ErrUnknown], [ErrNotRun], [ErrBusy] or [ErrMismatch]. The call
+// goes on when ctx is cancelled, until its deadline.
 func (c *Claims) Do(ctx context.Context, key string, call *Call) (ticket.Outcome, error) {
 	name := hexSum(call.Team, call.Deployment, key)
-	mine := claim{Nonce: uuid.NewString(), Request: hexSum(call.Method, call.Path, string(call.Body)), State: claimHeld, At: time.Now().UTC()}
-	version, err := c.acquire(ctx, name, &mine)
+	own := claim{Nonce: uuid.NewString(), Request: hexSum(call.Method, call.Path, string(call.Body)), State: claimHeld, ClaimedAt: time.Now().UTC()}
+	version, err := c.acquire(ctx, name, &own)
 	if err != nil {
-		return c.earlier(err)
+		return c.earlierResult(err)
 	}
-	r := Result{Ended: NotRun, Detail: "the deadline has passed"}
+	r := Result{State: NotRun, Detail: "the deadline has passed"}
 	if time.Now().Before(call.Deadline) {
 		runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
 		r = c.Run(runCtx, call)
 		cancel()
 	}
-	c.settle(ctx, name, version, mine, &r)
-	switch r.Ended {
+	c.recordResult(ctx, name, version, own, &r)
+	switch r.State {
 	case NotRun:
 		return r.Outcome, ErrNotRun.New("%s", r.Detail)
 	case Unknown:
@@ -79,33 +83,34 @@
 	return r.Outcome, nil
 }
 
-// earlierOutcome carries the outcome of a run before this one through the error path.
+// earlierOutcome is an error that carries the outcome of an earlier run under the same key.
 type earlierOutcome struct{ ticket.Outcome }
 
 func (earlierOutcome) Error() string { return "the call ran before" }
 
-func (c *Claims) earlier(err error) (ticket.Outcome, error) {
+// earlierResult returns the outcome that err carries, or err.
+func (c *Claims) earlierResult(err error) (ticket.Outcome, error) {
 	if e, ok := err.(earlierOutcome); ok {
 		return e.Outcome, nil
 	}
 	return ticket.Outcome{}, err
 }
 
-// acquire makes the claim, and returns its version. A lost answer is resolved by writing
-// and reading again: only one nonce can be in the object.
-func (c *Claims) acquire(ctx context.Context, name string, mine *claim) (uint64, error) {
+// acquire makes the claim and returns its version. After a lost answer it writes again and, on a
+// conflict, reads the object: the nonce in the object shows whose claim succeeded.
+func (c *Claims) acquire(ctx context.Context, name string, own *claim) (uint64, error) {
 	var expected uint64
 	uncertain := false
 	defer func() {
 		if uncertain {
-			go c.release(context.WithoutCancel(ctx), name, mine)
+			go c.release(context.WithoutCancel(ctx), name, own)
 		}
 	}()
-	for try := range claimTries {
-		if try > 0 {
-			time.Sleep(claimPause)
+	for attempt := range maxClaimAttempts {
+		if attempt > 0 {
+			time.Sleep(claimRetryDelay)
 		}
-		o, err := c.Platform.Put(ctx, KindClaim, name, encodeClaim(mine), expected)
+		o, err := c.Platform.Put(ctx, KindClaim, name, encodeClaim(own), expected)
 		switch {
 		case err == nil:
 			uncertain = false
@@ -121,9 +126,9 @@
 		if err != nil {
 			continue
 		}
-		version, next, err := c.judge(o, mine)
+		version, next, err := c.resolveConflict(o, own)
 		if err != nil || version > 0 {
-			uncertain = false // the object tells
+			uncertain = false // the object shows whose claim it is
 			return version, err
 		}
 		expected = next
@@ -131,21 +136,21 @@
 	return 0, ErrBusy.New("the platform did not settle the claim")
 }
 
-// release frees a claim that may have been made by a write whose answer was lost, for a
-// call that was refused as not run.
-func (c *Claims) release(ctx context.Context, name string, mine *claim) {
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+// release releases a claim that may have been made by a write whose answer was lost. The call was
+// refused as not run, so its key has to become free again.
+func (c *Claims) release(ctx context.Context, name string, own *claim) {
+	ctx, cancel := context.WithTimeout(ctx, backgroundTimeout)
 	defer cancel()
-	for pause := claimPause; ctx.Err() == nil; pause *= 2 {
+	for pause := claimRetryDelay; ctx.Err() == nil; pause *= 2 {
 		o, err := c.Platform.Get(ctx, KindClaim, name)
 		if err == nil {
-			var held claim
-			if json.Unmarshal(o.Value, &held) != nil || held.Nonce != mine.Nonce {
+			var stored claim
+			if json.Unmarshal(o.Value, &stored) != nil || stored.Nonce != own.Nonce {
 				return
 			}
-			free := *mine
-			free.State = claimNotRun
-			if _, err = c.Platform.Put(ctx, KindClaim, name, encodeClaim(&free), o.Version); err == nil {
+			released := *own
+			released.State = claimNotRun
+			if _, err = c.Platform.Put(ctx, KindClaim, name, encodeClaim(&released), o.Version); err == nil {
 				return
 			}
 		}
@@ -153,55 +158,60 @@
 	}
 }
 
-// judge looks at the claim that is there: ours, over, released or held by another.
-func (c *Claims) judge(o platform.Object, mine *claim) (version, expected uint64, err error) {
-	var theirs claim
+// resolveConflict decides what the stored claim o means for own. It returns the version of the
+// object if that is own; the version to overwrite if the claim was released or deleted; the outcome
+// as an [earlierOutcome] if the call ran; and otherwise an error.
+func (c *Claims) resolveConflict(o platform.Object, own *claim) (version, expected uint64, err error) {
+	var existing claim
 	if !o.Deleted {
-		if err := json.Unmarshal(o.Value, &theirs); err != nil {
+		if err := json.Unmarshal(o.Value, &existing); err != nil {
 			return 0, 0, ErrUnknown.Wrap(err, "unreadable claim")
 		}
 	}
 	switch {
-	case theirs.Nonce == mine.Nonce:
+	case existing.Nonce == own.Nonce:
 		return o.Version, 0, nil
-	case o.Deleted || theirs.State == claimNotRun:
+	case o.Deleted || existing.State == claimNotRun:
 		return 0, o.Version, nil
-	case theirs.Request != mine.Request:
+	case existing.Request != own.Request:
 		return 0, 0, ErrMismatch.New("the key was used for another request")
-	case theirs.State == claimRan:
-		return 0, 0, earlierOutcome{ticket.Outcome{Status: theirs.Status, ContentType: theirs.Type, Body: theirs.Body}}
+	case existing.State == claimRan:
+		return 0, 0, earlierOutcome{ticket.Outcome{Status: existing.Status, ContentType: existing.ContentType, Body: existing.Body}}
 	}
-	return 0, 0, ErrUnknown.New("a call with this key was begun at %s; it may have run", theirs.At.Format(time.RFC3339))
+	return 0, 0, ErrUnknown.New("a call with this key was begun at %s; it may have run", existing.ClaimedAt.Format(time.RFC3339))
 }
 
-// settle writes what became of the call. The caller does not wait for it, except when the
-// call did not run: then the key has to be free before the caller hears so.
-func (c *Claims) settle(ctx context.Context, name string, version uint64, mine claim, r *Result) {
-	switch r.Ended {
+// recordResult writes the result of the call to the claim. It writes in the background, except when
+// the call did not run: then it first tries once in the foreground, so that the key is free before
+// the caller gets the answer and retries.
+func (c *Claims) recordResult(ctx context.Context, name string, version uint64, own claim, r *Result) {
+	switch r.State {
 	case Unknown:
-		return // held stays true
+		return // the claim stays held, since the call may have run
 	case NotRun:
-		mine.State = claimNotRun
+		own.State = claimNotRun
 	case Ran:
-		mine.State, mine.Status, mine.Type = claimRan, r.Outcome.Status, r.Outcome.ContentType
-		if len(r.Outcome.Body) <= c.BodyKept {
-			mine.Body = r.Outcome.Body
+		own.State, own.Status, own.ContentType = claimRan, r.Outcome.Status, r.Outcome.ContentType
+		if len(r.Outcome.Body) <= c.MaxKeptBodyBytes {
+			own.Body = r.Outcome.Body
 		}
 	}
 	ctx = context.WithoutCancel(ctx)
-	if r.Ended == NotRun {
-		if _, err := c.Platform.Put(ctx, KindClaim, name, encodeClaim(&mine), version); err == nil {
+	if r.State == NotRun {
+		if _, err := c.Platform.Put(ctx, KindClaim, name, encodeClaim(&own), version); err == nil {
 			return
 		}
 	}
-	go c.settleLater(ctx, name, version, &mine)
+	go c.recordInBackground(ctx, name, version, &own)
 }
 
-func (c *Claims) settleLater(ctx context.Context, name string, version uint64, mine *claim) {
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+// recordInBackground writes own until the write succeeds, the object has changed or
+// backgroundTimeout has passed.
+func (c *Claims) recordInBackground(ctx context.Context, name string, version uint64, own *claim) {
+	ctx, cancel := context.WithTimeout(ctx, backgroundTimeout)
 	defer cancel()
-	for pause := claimPause; ctx.Err() == nil; pause *= 2 {
-		_, err := c.Platform.Put(ctx, KindClaim, name, encodeClaim(mine), version)
+	for pause := claimRetryDelay; ctx.Err() == nil; pause *= 2 {
+		_, err := c.Platform.Put(ctx, KindClaim, name, encodeClaim(own), version)
 		if err == nil || errorx.IsOfType(err, platform.ErrConflict) {
 			return
 		}
@@ -218,6 +228,7 @@
 	return raw
 }
 
+// hexSum returns the SHA-256 of parts, each terminated by a zero byte, in hexadecimal.
 func hexSum(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
--- a/gateway/once/once.go
+++ b/gateway/once/once.go
@@ -1,10 +1,14 @@
-// Package once runs non-idempotent calls at most once: under tickets, which belong to one
-// process ([Tickets]), and under callers' own keys, by claims in the platform ([Claims]).
+// Package once runs non-idempotent calls at most once. A call runs either under a ticket, which
+// belongs to one process ([Tickets]), or under an idempotency key of the caller, which is claimed
+// in the platform's store ([Claims]). No call is ever run a second time.
 //
-// Failure modes: a ticket's owner is dead, cut off or paused (the outcome is unknown, and
-// is said to be); the platform is down (a call with a key is refused as not run); an
-// answer of the platform or of the endpoint is lost (resolved by reading again, or said
-// to be unknown). Nothing here ever runs a call a second time.
+// Failure modes:
+//   - The owner of a ticket is dead, unreachable or paused: the outcome is reported as unknown.
+//   - The platform is down: a call with a key is refused as not run.
+//   - An answer of the platform is lost: the claim is written again and, on a conflict, read. If
+//     that does not settle it, the call is refused as not run and the claim is released in the
+//     background.
+//   - An answer of the endpoint is lost: the outcome is reported as unknown.
 package once
 
 import (
@@ -16,53 +20,58 @@
 	"github.com/agateway/agateway/core/ticket"
 )
 
-// Errors of this layer. All but [ErrUnknown] and [ErrEndpoint] mean that the call did not run.
+// Errors of [Tickets] and [Claims]. With [ErrNotRun], [ErrBusy], [ErrMismatch] and [ErrBadTicket]
+// the request did not run the call.
 var (
 	namespace = errorx.NewNamespace("once")
-	// ErrUnknown: the call may have run.
+	// ErrUnknown means that the call may have run.
 	ErrUnknown = namespace.NewType("unknown")
-	// ErrInProgress: the call runs now, for an earlier request.
+	// ErrInProgress means that the call is running for an earlier request.
 	ErrInProgress = namespace.NewType("in_progress", errorx.Temporary())
-	// ErrNotRun: the call did not run, and under this ticket never will.
+	// ErrNotRun means that the call did not run. Under the same ticket it never will.
 	ErrNotRun = namespace.NewType("not_run")
-	// ErrBusy: there is no room to remember the call, or the platform is not reachable.
+	// ErrBusy means that the ticket table is full, or that the claim could not be made in the
+	// platform's store.
 	ErrBusy = namespace.NewType("busy", errorx.Temporary())
-	// ErrExpired: the ticket is too old for its outcome to be known.
+	// ErrExpired means that the ticket has expired, so that its outcome is no longer known.
 	ErrExpired = namespace.NewType("expired")
-	// ErrMismatch: the ticket or key was used for another request.
+	// ErrMismatch means that the ticket or key was used for another request.
 	ErrMismatch = namespace.NewType("mismatch")
-	// ErrBadTicket: the text is no ticket of ours.
+	// ErrBadTicket means that the text is not a ticket signed with this fleet's key, or that the
+	// ticket belongs to another team.
 	ErrBadTicket = namespace.NewType("bad_ticket")
 )
 
-// Call is a call that may run at most once.
+// Call is a call that may run at most once. It is not begun after Deadline.
 type Call struct {
 	Team, Deployment, Method, Path, ContentType string
 	Body                                        []byte
 	Deadline                                    time.Time
 }
 
-// Ended says what became of a call that was begun.
-type Ended int
+// RunState says whether a call ran.
+type RunState int
 
-// Ends of a call.
+// States of a call after [RunFunc] has returned.
 const (
-	// Ran: the outcome is known.
-	Ran Ended = iota
-	// NotRun: it certainly did not run.
+	// Ran means that the call ran and its outcome is known.
+	Ran RunState = iota
+	// NotRun means that the call certainly did not run.
 	NotRun
-	// Unknown: the endpoint's answer was lost.
+	// Unknown means that the endpoint's answer was lost, so that the call may have run.
 	Unknown
 )
 
-// Result is what a run of a call came to.
+// Result is the result of an attempt to run a call.
 type Result struct {
-	Ended   Ended
+	State   RunState
 	Outcome ticket.Outcome
-	// RetryAfter is when asking again may help, for a call that did not run.
+	// RetryAfter is how long to wait before a retry; 0 if unknown. It is meant for a call that did
+	// not run.
 	RetryAfter time.Duration
-	Detail     string
+	// Detail is the text of the error when State is not Ran.
+	Detail string
 }
 
-// Runner runs a call at an endpoint.
-type Runner func(ctx context.Context, c *Call) Result
+// RunFunc sends a call to an endpoint. It is called at most once for a ticket or claim.
+type RunFunc func(ctx context.Context, c *Call) Result
--- a/gateway/once/once_test.go
+++ b/gateway/once/once_test.go
@@ -14,13 +14,13 @@
 	"github.com/agateway/agateway/gateway/once"
 )
 
-type alone struct{}
+type singleMember struct{}
 
-func (alone) Self() membership.Member     { return membership.Member{ID: "a", Process: 7} }
-func (alone) Others() []membership.Member { return nil }
+func (singleMember) Self() membership.Member     { return membership.Member{ID: "a", Process: 7} }
+func (singleMember) Others() []membership.Member { return nil }
 
-// TestLateCallDoesNotRun: an owner that was paused and wakes after the caller's deadline
-// does not run the call, and the ticket says so for good.
+// TestLateCallDoesNotRun checks that an owner that was paused, and gets a call after its deadline,
+// does not run the call. The ticket then answers NotRun even to a retry with time left.
 func TestLateCallDoesNotRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		remaining uint32
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			runs := 0
 			tickets := once.NewTickets(once.Options{
-				Key: []byte("0123456789abcdef"), Entries: 10, Bytes: 1000, BodyKept: 100, TTL: time.Minute, Fleet: alone{}, Scope: tally.NoopScope,
+				Key: []byte("0123456789abcdef"), MaxEntries: 10, MaxOutcomeBytes: 1000, MaxKeptBodyBytes: 100, TTL: time.Minute, Fleet: singleMember{}, Scope: tally.NoopScope,
 				Run: func(context.Context, *once.Call) once.Result {
 					runs++
 					return once.Result{Outcome: ticket.Outcome{Status: 200}}
--- a/gateway/once/sweep.go
+++ b/gateway/once/sweep.go
@@ -12,25 +12,26 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// Sweeper deletes old claims from the platform, at a bounded rate. One instance does it,
-// the holder of the orders lease; two at once do no harm, since deletions are conditional.
+// Sweeper deletes old claims from the platform's store at a bounded rate. One instance sweeps: the
+// holder of the orders lease. Two at once do no harm, since deletions are conditional on the
+// version. A claim that can't be decoded is never deleted.
 type Sweeper struct {
 	Platform platform.Client
-	// Holds tells whether this instance sweeps now.
-	Holds func() bool
-	// TTL is the age from which a claim goes; its key may then be used again.
+	// Enabled reports whether this instance has to sweep now. It is asked before each deletion.
+	Enabled func() bool
+	// TTL is the age after which a claim is deleted; its key may then be used again.
 	TTL time.Duration
-	// Every is the time between two sweeps.
-	Every time.Duration
-	// PerSecond bounds the deletions.
-	PerSecond float64
-	Scope     tally.Scope
+	// Interval is the time between sweeps.
+	Interval time.Duration
+	// DeletesPerSecond bounds the rate of deletions.
+	DeletesPerSecond float64
+	Scope            tally.Scope
 }
 
-// Run sweeps until ctx ends.
+// Run sweeps until ctx is done.
 func (s *Sweeper) Run(ctx context.Context) {
-	pause.Every(ctx, s.Every, func() {
-		if s.Holds() {
+	pause.Every(ctx, s.Interval, func() {
+		if s.Enabled() {
 			s.sweep(ctx)
 		}
 	})
@@ -39,14 +40,14 @@
 func (s *Sweeper) sweep(ctx context.Context) {
 	objects, _, err := s.Platform.List(ctx, KindClaim)
 	if err != nil {
-		return // the next turn tries again
+		return // the next sweep tries again
 	}
-	limit := rate.NewLimiter(rate.Limit(s.PerSecond), 1)
+	limit := rate.NewLimiter(rate.Limit(s.DeletesPerSecond), 1)
 	for _, o := range objects {
-		if o.Deleted || !s.old(o) {
+		if o.Deleted || !s.expired(o) {
 			continue
 		}
-		if limit.Wait(ctx) != nil || !s.Holds() {
+		if limit.Wait(ctx) != nil || !s.Enabled() {
 			return
 		}
 		if _, err := s.Platform.Delete(ctx, KindClaim, o.Name, o.Version); err == nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-func (s *Sweeper) old(o platform.Object) bool {
+func (s *Sweeper) expired(o platform.Object) bool {
 	var c claim
-	return json.Unmarshal(o.Value, &c) == nil && time.Since(c.At) > s.TTL
+	return json.Unmarshal(o.Value, &c) == nil && time.Since(c.ClaimedAt) > s.TTL
 }
--- a/gateway/once/sweep_test.go
+++ b/gateway/once/sweep_test.go
@@ -18,7 +18,8 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// TestSweep: old claims go, young ones stay, and only the holder sweeps.
+// TestSweep checks that old claims are deleted and young ones kept, that keys of deleted claims can
+// be used again, and that a sweeper that is not enabled deletes nothing.
 func TestSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -28,7 +29,7 @@
 		stop := standin.Serve(l, standin.NewStore(0))
 		p := platform.NewObjects("http://10.0.9.1:80", 2*time.Second, net.Node("instance"))
 		runs := 0
-		claims := &once.Claims{Platform: p, BodyKept: 100, Scope: tally.NoopScope, Run: func(context.Context, *once.Call) once.Result {
+		claims := &once.Claims{Platform: p, MaxKeptBodyBytes: 100, Scope: tally.NoopScope, Run: func(context.Context, *once.Call) once.Result {
 			runs++
 			return once.Result{Outcome: ticket.Outcome{Status: 200}}
 		}}
@@ -43,27 +44,27 @@
 		time.Sleep(20 * time.Hour)
 		do("young")
 		var holds atomic.Bool
-		s := &once.Sweeper{Platform: p, Holds: holds.Load, TTL: 24 * time.Hour, Every: 10 * time.Minute, PerSecond: 5, Scope: tally.NoopScope}
+		s := &once.Sweeper{Platform: p, Enabled: holds.Load, TTL: 24 * time.Hour, Interval: 10 * time.Minute, DeletesPerSecond: 5, Scope: tally.NoopScope}
 		done := make(chan struct{})
 		go func() { defer close(done); s.Run(ctx) }()
 		time.Sleep(5 * time.Hour)
-		assert.Equal(t, left(t, p), 6)
+		assert.Equal(t, countClaims(t, p), 6)
 		holds.Store(true)
 		time.Sleep(time.Hour)
-		assert.Equal(t, left(t, p), 1)
+		assert.Equal(t, countClaims(t, p), 1)
 		do("young")
 		assert.Equal(t, runs, 6)
-		do("old 1") // its key is free again
+		do("old 1") // its claim was deleted, so the key is free again
 		assert.Equal(t, runs, 7)
 		cancel()
 		<-done
-		time.Sleep(time.Second) // outcomes are written beside the answers
+		time.Sleep(time.Second) // outcomes are written in the background
 		stop()
 		net.CloseAll()
 	})
 }
 
-func left(t *testing.T, p platform.Client) int {
+func countClaims(t *testing.T, p platform.Client) int {
 	objects, _, err := p.List(context.Background(), once.KindClaim)
 	assert.NilError(t, err)
 	n := 0
--- a/gateway/pipeline/dispatch.go
+++ b/gateway/pipeline/dispatch.go
@@ -76,7 +76,7 @@
 	d := &dispatch{p.deps}
 	dep, ok := d.Config.Deployment(c.Deployment)
 	if !ok {
-		return once.Result{Ended: once.NotRun, Detail: "there is no such service any more"}
+		return once.Result{State: once.NotRun, Detail: "there is no such service any more"}
 	}
 	resp, done, err := d.call(ctx, dep, c)
 	if err != nil {
@@ -85,16 +85,16 @@
 	defer done()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostOutcome))
 	if err != nil {
-		return once.Result{Ended: once.Unknown, Detail: "the endpoint's answer broke off"}
+		return once.Result{State: once.Unknown, Detail: "the endpoint's answer broke off"}
 	}
-	return once.Result{Ended: once.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
+	return once.Result{State: once.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
 }
 
 func failedRun(err error) once.Result {
 	e := apierr.From(err)
-	r := once.Result{Ended: once.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
+	r := once.Result{State: once.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
 	if e.Ran == apierr.NotRun {
-		r.Ended = once.NotRun
+		r.State = once.NotRun
 	}
 	return r
 }
