--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -59,7 +59,7 @@
 	telemetry *telemetry.Telemetry
 	network   network.Network
 	platform  *platform.Objects
-	running   *running.Running
+	running   *running.Directory
 	crashes   *crashes.Registry
 	peering   *peering.Service
 	servers   []*http.Server
@@ -121,7 +121,7 @@
 	})
 	d.running = running.New(running.Options{
 		Settings: directory.DefaultSettings(), Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Scope: t.Scope,
-		Orphan: func(_ context.Context, e directory.Entry) {
+		CancelOrphan: func(_ context.Context, e directory.Entry) {
 			d.Backends.Cancel(e.Place.Endpoint, e.Place.Stream, e.Place.Attempt)
 		},
 	})
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -29,7 +29,7 @@
 
 	Config  *config.Config
 	Fleet   *fleet.Fleet
-	Running *running.Running
+	Running *running.Directory
 	Tickets *once.Tickets
 	Lists   *Lists
 	Crashes *crashes.Registry
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -29,7 +29,7 @@
 	// Crashes is what is known of requests that end endpoints.
 	Crashes *crashes.Registry
 	Fleet   *fleet.Fleet
-	Running *running.Running
+	Running *running.Directory
 	Tickets *once.Tickets
 	Claims  *once.Claims
 	Tracer  trace.Tracer
