--- a/gateway/callers/callers.go
+++ b/gateway/callers/callers.go
@@ -85,7 +85,7 @@
 const mostEntries = 8
 
 func (o *Options) entry(w http.ResponseWriter, r *http.Request) {
-	members := o.Fleet.Entry(r.URL.Query().Get("data_centre"))
+	members := o.Fleet.EntryMembers(r.URL.Query().Get("data_centre"))
 	e := Entry{KeepSeconds: o.EntryKeep.Seconds(), Addresses: []EntryAddress{}}
 	for _, m := range members[:min(len(members), mostEntries)] {
 		e.Addresses = append(e.Addresses, EntryAddress{m.Address, m.ID, m.DataCentre})
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -160,13 +160,13 @@
 			Process: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
 		},
 		Settings: set, Timeout: s.Peers.Timeout, Seeds: s.Peers.Seeds, Pool: d.Pool, Log: t.Log, Scope: t.Scope,
-		Figures: d.figures,
-		Behind:  func(m membership.Member) { d.peering.Pull(m) },
+		Stats:            d.figures,
+		OnConfigMismatch: func(m membership.Member) { d.peering.Pull(m) },
 	})
 }
 
-func (d *Daemon) figures() fleet.Figures {
-	return fleet.Figures{Open: uint32(d.Pipeline.Open()), Configuration: d.Config.Digest(), Usage: d.Pipeline.Usage()}
+func (d *Daemon) figures() fleet.Stats {
+	return fleet.Stats{OpenRequests: uint32(d.Pipeline.Open()), ConfigDigest: d.Config.Digest(), Usage: d.Pipeline.Usage()}
 }
 
 func (d *Daemon) lists() *peering.Lists {
--- a/gateway/fleet/fleet.go
+++ b/gateway/fleet/fleet.go
@@ -1,10 +1,11 @@
-// Package fleet keeps this instance in touch with the others: heartbeats, what each uses
-// of shared limits, and the answer to callers who ask which instance to use.
+// Package fleet runs the membership protocol between instances. It exchanges heartbeats, which also
+// carry each instance's use of shared limits, and selects the instances that callers should use.
+// The platform's list and the seeds from the settings are only used to find peers.
 //
-// Failure modes: a peer that does not answer is suspected and soon left out of entry
-// answers; an instance that is cut off from all goes on alone, with its equal share of
-// the limits. The platform's list and the seeds of the settings are only used to find
-// peers.
+// Failure modes:
+//   - A peer does not answer: it is suspected, and soon callers are no longer sent to it.
+//   - This instance can't reach any other: it goes on alone. It keeps to its share of the shared
+//     limits until it has declared the others dead, and then counts as the only live member.
 package fleet
 
 import (
@@ -23,30 +24,34 @@
 	"github.com/agateway/agateway/gateway/peers"
 )
 
-// Figures are what this instance tells of itself.
-type Figures struct {
-	Open          uint32
-	Configuration uint64
-	// Usage of shared limits, by key.
+// Stats are the statistics of this instance that its heartbeats carry.
+type Stats struct {
+	OpenRequests uint32
+	ConfigDigest uint64
+	// Usage is the use of shared limits, by key.
 	Usage map[string]limits.Usage
 }
 
-// Options of a fleet.
+// Options of a [Fleet].
 type Options struct {
 	Self     membership.Member
 	Settings membership.Settings
-	Timeout  time.Duration
-	Seeds    []string
-	Pool     *peers.Pool
-	Log      *logrus.Entry
-	Scope    tally.Scope
-	// Figures is asked before each heartbeat.
-	Figures func() Figures
-	// Behind is called when a peer has another configuration.
-	Behind func(peer membership.Member)
+	// Timeout bounds each heartbeat. An indirect ping has twice the time.
+	Timeout time.Duration
+	// Seeds are the peer addresses that are asked for all members at the start.
+	Seeds []string
+	Pool  *peers.Pool
+	Log   *logrus.Entry
+	Scope tally.Scope
+	// Stats returns the current statistics. It is called once per interval and for each
+	// heartbeat received.
+	Stats func() Stats
+	// OnConfigMismatch is called after a heartbeat with a peer whose configuration differs; nil
+	// for no call.
+	OnConfigMismatch func(peer membership.Member)
 }
 
-// Fleet is this instance's place among the others. It is safe for concurrent use.
+// Fleet is this instance's member of the fleet. It is safe for concurrent use.
 type Fleet struct {
 	opt Options
 
@@ -54,24 +59,24 @@
 	node  *membership.Node
 	rnd   *rand.Rand
 	usage usageTable
-	// others is the sum of the others' usage, by limit.
-	others map[string]limits.Usage
-	known  limits.FleetUsage // without a usage
+	// othersUsage is the sum of the other members' usage, by limit.
+	othersUsage  map[string]limits.Usage
+	usageSummary limits.FleetUsage // Others is not set
 
-	misses, beats tally.Counter
+	heartbeatsMissed, heartbeatsSent tally.Counter
 }
 
-// New returns a fleet that knows only this instance.
+// New returns a fleet whose only member is this instance.
 func New(opt Options) *Fleet {
 	rnd := rand.New(rand.NewPCG(opt.Self.Process, opt.Self.Incarnation))
 	return &Fleet{
 		opt: opt, node: membership.New(opt.Settings, opt.Self, rnd), rnd: rnd,
-		usage:  usageTable{reports: map[string]*usageReport{}},
-		misses: opt.Scope.Counter("heartbeats_missed"), beats: opt.Scope.Counter("heartbeats"),
+		usage:            usageTable{reports: map[string]*usageReport{}},
+		heartbeatsMissed: opt.Scope.Counter("heartbeats_missed"), heartbeatsSent: opt.Scope.Counter("heartbeats"),
 	}
 }
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats until ctx is done.
 func (f *Fleet) Run(ctx context.Context) {
 	f.join(ctx)
 	timer := time.NewTimer(f.opt.Settings.Interval)
@@ -96,11 +101,11 @@
 // join asks the seeds for all members.
 func (f *Fleet) join(ctx context.Context) {
 	for _, s := range f.opt.Seeds {
-		f.beat(ctx, membership.Member{PeerAddress: s}, true)
+		f.sendHeartbeat(ctx, membership.Member{PeerAddress: s}, true)
 	}
 }
 
-// Seed adds members that the platform lists.
+// Seed adds members from the platform's list.
 func (f *Fleet) Seed(members []membership.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,79 +115,82 @@
 }
 
 func (f *Fleet) tick(ctx context.Context, now time.Time) {
-	for _, a := range f.step(now) {
-		go f.do(ctx, a)
+	for _, a := range f.advance(now) {
+		go f.execute(ctx, a)
 	}
 	f.logChanges()
 }
 
-// step lets one interval pass, and returns whom to ping.
-func (f *Fleet) step(now time.Time) []membership.Action {
-	fig := f.opt.Figures()
+// advance advances the membership protocol by one interval and returns the pings to send.
+func (f *Fleet) advance(now time.Time) []membership.Action {
+	stats := f.opt.Stats()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.node.SetStats(fig.Open, fig.Configuration)
-	f.usage.own(f.node.Self().ID, now, fig.Usage)
+	f.node.SetStats(stats.OpenRequests, stats.ConfigDigest)
+	f.usage.setOwn(f.node.Self().ID, now, stats.Usage)
 	actions := f.node.Tick(now)
-	f.addUsage()
+	f.updateOthersUsage()
 	return actions
 }
 
-func (f *Fleet) do(ctx context.Context, a membership.Action) {
+// execute sends a ping or an indirect ping. Indirect pings follow a ping without an answer.
+func (f *Fleet) execute(ctx context.Context, a membership.Action) {
 	switch a := a.(type) {
 	case membership.Ping:
-		if f.beat(ctx, a.To, a.To.Incarnation == 0) {
+		if f.sendHeartbeat(ctx, a.To, a.To.Incarnation == 0) {
 			return
 		}
-		f.misses.Inc(1)
+		f.heartbeatsMissed.Inc(1)
 		f.mu.Lock()
 		next := f.node.Missed(time.Now(), a.To.ID)
 		f.mu.Unlock()
 		for _, n := range next {
-			go f.do(ctx, n)
+			go f.execute(ctx, n)
 		}
 	case membership.IndirectPing:
-		f.indirect(ctx, a)
+		f.pingIndirectly(ctx, a)
 	}
 	f.logChanges()
 }
 
-// beat exchanges a heartbeat with a peer, and tells whether it answered.
-func (f *Fleet) beat(ctx context.Context, to membership.Member, full bool) bool {
-	f.beats.Inc(1)
-	resp, err := peers.Call(ctx, f.opt.Pool, to.PeerAddress, f.opt.Timeout, heartbeatMethod, f.request(to, full))
+// sendHeartbeat exchanges a heartbeat with a peer and reports whether the peer answered. With full
+// set, the peer answers with all members that it knows.
+func (f *Fleet) sendHeartbeat(ctx context.Context, to membership.Member, full bool) bool {
+	f.heartbeatsSent.Inc(1)
+	resp, err := peers.Call(ctx, f.opt.Pool, to.PeerAddress, f.opt.Timeout, heartbeatMethod, f.newRequest(to, full))
 	if err != nil {
 		return false
 	}
-	f.take(time.Now(), to, resp)
+	f.mergeResponse(time.Now(), to, resp)
 	return true
 }
 
-func (f *Fleet) request(to membership.Member, full bool) *peerv1.HeartbeatRequest {
+func (f *Fleet) newRequest(to membership.Member, full bool) *peerv1.HeartbeatRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &peerv1.HeartbeatRequest{
 		From: f.node.Self().ID, Members: peers.EncodeMembers(f.node.Updates(to.ID)),
-		Usage: f.usage.encode(f.node.Self().ID, f.rnd), Configuration: f.node.Self().ConfigDigest, Full: full,
+		Usage: f.usage.reportsToSend(f.node.Self().ID, f.rnd), Configuration: f.node.Self().ConfigDigest, Full: full,
 	}
 }
 
-// take merges the answer to a heartbeat.
-func (f *Fleet) take(now time.Time, from membership.Member, resp *peerv1.HeartbeatResponse) {
+// mergeResponse merges the answer to a heartbeat.
+func (f *Fleet) mergeResponse(now time.Time, from membership.Member, resp *peerv1.HeartbeatResponse) {
 	f.mu.Lock()
 	f.node.Answered(from.ID)
 	f.node.Receive(now, peers.DecodeMembers(resp.Members))
 	f.usage.merge(f.node.Self().ID, now, resp.Usage)
-	behind := resp.Configuration != f.node.Self().ConfigDigest
+	mismatch := resp.Configuration != f.node.Self().ConfigDigest
 	f.mu.Unlock()
-	if behind && f.opt.Behind != nil {
-		f.opt.Behind(from)
+	if mismatch && f.opt.OnConfigMismatch != nil {
+		f.opt.OnConfigMismatch(from)
 	}
 }
 
-func (f *Fleet) indirect(ctx context.Context, a membership.IndirectPing) {
+// pingIndirectly asks a peer to ping a member that this instance could not reach.
+func (f *Fleet) pingIndirectly(ctx context.Context, a membership.IndirectPing) {
 	req := &peerv1.IndirectPingRequest{Target: peers.EncodeMember(&a.Target)}
-	resp, err := peers.Call(ctx, f.opt.Pool, a.Via.PeerAddress, 2*f.opt.Timeout, indirectMethod, req)
+	resp, err := peers.Call(ctx, f.opt.Pool, a.Via.PeerAddress, 2*f.opt.Timeout, indirectPingMethod, req)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil && resp.Reached {
@@ -193,12 +201,12 @@
 	f.node.MissedIndirect(time.Now(), a.Target.ID)
 }
 
-// Heartbeat answers a peer's heartbeat.
-func (f *Fleet) Heartbeat(req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
+// HandleHeartbeat answers a peer's heartbeat.
+func (f *Fleet) HandleHeartbeat(req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
 	now := time.Now()
-	fig := f.opt.Figures()
+	stats := f.opt.Stats()
 	f.mu.Lock()
-	f.node.SetStats(fig.Open, fig.Configuration)
+	f.node.SetStats(stats.OpenRequests, stats.ConfigDigest)
 	f.node.Receive(now, peers.DecodeMembers(req.Members))
 	f.usage.merge(f.node.Self().ID, now, req.Usage)
 	out := f.node.Updates(req.From)
@@ -206,22 +214,22 @@
 		out = f.node.Members()
 	}
 	from, known := f.node.Get(req.From)
-	f.addUsage()
+	f.updateOthersUsage()
 	resp := &peerv1.HeartbeatResponse{
-		Members: peers.EncodeMembers(out), Usage: f.usage.encode(f.node.Self().ID, f.rnd), Configuration: f.node.Self().ConfigDigest,
+		Members: peers.EncodeMembers(out), Usage: f.usage.reportsToSend(f.node.Self().ID, f.rnd), Configuration: f.node.Self().ConfigDigest,
 	}
 	f.mu.Unlock()
 	f.logChanges()
-	if known && req.Configuration != resp.Configuration && f.opt.Behind != nil {
-		f.opt.Behind(from)
+	if known && req.Configuration != resp.Configuration && f.opt.OnConfigMismatch != nil {
+		f.opt.OnConfigMismatch(from)
 	}
 	return resp
 }
 
-// IndirectPing pings a member for a peer that can't reach it.
-func (f *Fleet) IndirectPing(ctx context.Context, req *peerv1.IndirectPingRequest) *peerv1.IndirectPingResponse {
+// HandleIndirectPing pings a member for a peer that can't reach it.
+func (f *Fleet) HandleIndirectPing(ctx context.Context, req *peerv1.IndirectPingRequest) *peerv1.IndirectPingResponse {
 	target := peers.DecodeMember(req.Target)
-	reached := f.beat(ctx, target, false)
+	reached := f.sendHeartbeat(ctx, target, false)
 	m, ok := f.Get(target.ID)
 	if !ok {
 		return &peerv1.IndirectPingResponse{Reached: reached}
@@ -229,15 +237,15 @@
 	return &peerv1.IndirectPingResponse{Reached: reached, Members: []*peerv1.Member{peers.EncodeMember(&m)}}
 }
 
-// Leave tells the others that this instance takes no new work, and says so to a few at
-// once.
+// Leave marks this instance as leaving, so that it gets no new work. It sends a heartbeat to all
+// other live members and returns when each has answered or failed.
 func (f *Fleet) Leave(ctx context.Context) {
 	f.mu.Lock()
 	f.node.Leave()
 	f.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, m := range f.Others() {
-		wg.Go(func() { f.beat(ctx, m, false) })
+		wg.Go(func() { f.sendHeartbeat(ctx, m, false) })
 	}
 	wg.Wait()
 }
@@ -256,14 +264,14 @@
 	return f.node.Members()
 }
 
-// Get returns a member.
+// Get returns a member, and false if id is unknown.
 func (f *Fleet) Get(id string) (membership.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.node.Get(id)
 }
 
-// Others returns the other members that are alive.
+// Others returns the other members that are alive and have a peer address.
 func (f *Fleet) Others() []membership.Member {
 	self := f.Self().ID
 	var out []membership.Member
@@ -275,7 +283,7 @@
 	return out
 }
 
-// Sample returns up to n others, at random.
+// Sample returns up to n of [Fleet.Others], chosen at random.
 func (f *Fleet) Sample(n int) []membership.Member {
 	out := f.Others()
 	f.mu.Lock()
@@ -284,8 +292,9 @@
 	return out[:min(n, len(out))]
 }
 
-// Entry returns the instances that a caller in a data centre should use, best first.
-func (f *Fleet) Entry(dataCentre string) []membership.Member {
+// EntryMembers returns the instances that a caller in a data centre should use, best first. An empty
+// dataCentre stands for that of this instance.
+func (f *Fleet) EntryMembers(dataCentre string) []membership.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if dataCentre == "" {
@@ -294,19 +303,20 @@
 	return membership.EntryMembers(f.node.Members(), dataCentre, f.rnd)
 }
 
-// Usage returns what is known of the others' use of a limit, as of the last heartbeat.
+// Usage returns the other members' use of a limit, as of the last interval or heartbeat received.
 func (f *Fleet) Usage(key string) limits.FleetUsage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.known
-	out.Others = f.others[key]
+	out := f.usageSummary
+	out.Others = f.othersUsage[key]
 	return out
 }
 
-func (f *Fleet) addUsage() {
-	f.others, f.known = f.usage.sum(f.node.Self().ID, f.node.Members())
+func (f *Fleet) updateOthersUsage() {
+	f.othersUsage, f.usageSummary = f.usage.sumOthers(f.node.Self().ID, f.node.Members())
 }
 
+// logChanges logs the changes of members since its last call.
 func (f *Fleet) logChanges() {
 	f.mu.Lock()
 	changes := f.node.Changes()
@@ -317,6 +327,6 @@
 }
 
 var (
-	heartbeatMethod = peerv1connect.PeerServiceClient.Heartbeat
-	indirectMethod  = peerv1connect.PeerServiceClient.IndirectPing
+	heartbeatMethod    = peerv1connect.PeerServiceClient.Heartbeat
+	indirectPingMethod = peerv1connect.PeerServiceClient.IndirectPing
 )
--- a/gateway/fleet/fleet_bench_test.go
+++ b/gateway/fleet/fleet_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/agateway/agateway/core/membership"
 )
 
-// ring is many fleets that exchange heartbeats in one loop.
-type ring struct {
+// simulation is a fleet of many instances that exchange heartbeats in one loop, without a network.
+type simulation struct {
 	now    time.Time
 	fleets []*Fleet
 	byID   map[string]*Fleet
@@ -23,12 +23,12 @@
 	calls  int
 }
 
-func newRing(n int) *ring {
+func newSimulation(n int) *simulation {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &ring{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), byID: map[string]*Fleet{}}
+	r := &simulation{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), byID: map[string]*Fleet{}}
 	usage := map[string]limits.Usage{}
-	for d := range 15 { // each instance serves all models of the target, and one busy team
+	for d := range 15 { // each instance serves 15 models and one busy team
 		usage[fmt.Sprint("s/model-", d)] = limits.Usage{Running: 12}
 	}
 	usage["t/almaty-desk"] = limits.Usage{Running: 10, Rate: 1}
@@ -39,7 +39,7 @@
 				DataCentre: fmt.Sprint("region-a-hall-", i%9), Process: uint64(i) * 0x9e3779b97f4a7c15, Incarnation: uint64(r.now.UnixNano()),
 			},
 			Settings: membership.DefaultSettings(), Scope: tally.NoopScope, Log: logrus.NewEntry(log),
-			Figures: func() Figures { return Figures{Open: 180, Configuration: 0xabcdef0123456789, Usage: usage} },
+			Stats: func() Stats { return Stats{OpenRequests: 180, ConfigDigest: 0xabcdef0123456789, Usage: usage} },
 		})
 		r.fleets, r.byID[f.Self().ID] = append(r.fleets, f), f
 	}
@@ -53,40 +53,41 @@
 	return r
 }
 
-func (r *ring) interval() {
+// runInterval runs one interval of all instances.
+func (r *simulation) runInterval() {
 	r.now = r.now.Add(r.fleets[0].interval())
 	for _, f := range r.fleets {
-		for _, a := range f.step(r.now) {
+		for _, a := range f.advance(r.now) {
 			to := a.(membership.Ping).To
-			req := f.request(to, to.Incarnation == 0)
-			resp := r.byID[to.ID].Heartbeat(req)
-			f.take(r.now, to, resp)
+			req := f.newRequest(to, to.Incarnation == 0)
+			resp := r.byID[to.ID].HandleHeartbeat(req)
+			f.mergeResponse(r.now, to, resp)
 			r.bytes += proto.Size(req) + proto.Size(resp)
 			r.calls++
 		}
 	}
 }
 
-// BenchmarkHeartbeats measures an instance's share of an interval: messages, their bytes
-// (sent and received, without those of HTTP) and processor time (without that of HTTP).
+// BenchmarkHeartbeats measures the cost of heartbeats per instance and interval: calls, bytes sent
+// and received, and processor time. Bytes and time do not include HTTP.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{9, 50, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := newRing(n)
+			r := newSimulation(n)
 			for range 20 {
-				r.interval()
+				r.runInterval()
 			}
 			r.bytes, r.calls = 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
-				r.interval()
+				r.runInterval()
 			}
-			per := float64(b.N) * float64(n)
-			// An instance sends and answers: each message counts at both ends.
-			b.ReportMetric(2*float64(r.bytes)/per, "bytes/instance")
-			b.ReportMetric(2*float64(r.calls)/per, "calls/instance")
+			instanceIntervals := float64(b.N) * float64(n)
+			// Each message counts at both ends, since an instance sends and answers.
+			b.ReportMetric(2*float64(r.bytes)/instanceIntervals, "bytes/instance")
+			b.ReportMetric(2*float64(r.calls)/instanceIntervals, "calls/instance")
 			b.ReportMetric(r.fleets[0].interval().Seconds(), "s/interval")
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/per, "us/instance")
+			b.ReportMetric(float64(b.Elapsed().Microseconds())/instanceIntervals, "us/instance")
 		})
 	}
 }
--- a/gateway/fleet/codec.go
+++ b/gateway/fleet/usage.go
@@ -10,41 +10,45 @@
 	"github.com/agateway/agateway/core/membership"
 )
 
-// usageTable holds the newest report of each instance about its use of shared limits.
+// usageTable holds the newest report of each instance on its use of shared limits. Newer reports
+// have higher sequence numbers.
 type usageTable struct {
 	reports map[string]*usageReport
 }
 
 type usageReport struct {
-	sequence uint64
-	at       time.Time // when it came
-	usage    map[string]limits.Usage
+	sequence   uint64
+	receivedAt time.Time // on this instance's clock
+	usage      map[string]limits.Usage
 }
 
 const (
-	// usageTTL is how long a report counts.
+	// usageTTL is how long a report is used.
 	usageTTL = 15 * time.Second
-	// usageRelays is how many other instances' reports go along with a heartbeat.
-	usageRelays = 4
-	// relayUpTo is the number of other instances up to which reports are passed on.
-	relayUpTo = 48
-	// usageKeys bounds the limits told in one report; the most used ones are told.
-	usageKeys = 32
+	// maxRelayedReports is the number of other instances' reports that are sent with a heartbeat.
+	maxRelayedReports = 4
+	// maxReportersForRelay is the number of other instances with a report up to which reports
+	// are relayed.
+	maxReportersForRelay = 48
+	// maxReportedLimits bounds the limits in one report. The most used ones are reported.
+	maxReportedLimits = 32
 )
 
-func (t *usageTable) own(self string, now time.Time, usage map[string]limits.Usage) {
+// setOwn stores this instance's own report, with the next sequence number.
+func (t *usageTable) setOwn(self string, now time.Time, usage map[string]limits.Usage) {
 	r := t.reports[self]
 	if r == nil {
-		// Sequence numbers of an earlier run are lower.
+		// Start at the clock, so that the sequence numbers of an earlier process are lower.
 		r = &usageReport{sequence: uint64(now.UnixMilli())}
 		t.reports[self] = r
 	}
 	r.sequence++
-	r.usage, r.at = busiest(usage), now
+	r.usage, r.receivedAt = mostUsed(usage), now
 }
 
-// busiest keeps the limits with the highest use.
-func busiest(usage map[string]limits.Usage) map[string]limits.Usage {
+// mostUsed returns the limits with the highest use. Limits without running requests and with fewer
+// than 0.01 requests/s are left out.
+func mostUsed(usage map[string]limits.Usage) map[string]limits.Usage {
 	keys := make([]string, 0, len(usage))
 	for k, u := range usage {
 		if u.Running > 0 || u.Rate >= 0.01 {
@@ -55,13 +59,14 @@
 		a, b := usage[keys[i]], usage[keys[j]]
 		return float64(a.Running)+a.Rate > float64(b.Running)+b.Rate
 	})
-	out := make(map[string]limits.Usage, min(len(keys), usageKeys))
-	for _, k := range keys[:min(len(keys), usageKeys)] {
+	out := make(map[string]limits.Usage, min(len(keys), maxReportedLimits))
+	for _, k := range keys[:min(len(keys), maxReportedLimits)] {
 		out[k] = usage[k]
 	}
 	return out
 }
 
+// merge stores the reports that are newer than those known, and deletes reports older than usageTTL.
 func (t *usageTable) merge(self string, now time.Time, reports []*peerv1.UsageReport) {
 	for _, r := range reports {
 		old := t.reports[r.Instance]
@@ -72,17 +77,17 @@
 		for _, u := range r.Usage {
 			usage[u.Key] = limits.Usage{Running: int(u.Running), Rate: float64(u.Rate)}
 		}
-		t.reports[r.Instance] = &usageReport{sequence: r.Sequence, at: now, usage: usage}
+		t.reports[r.Instance] = &usageReport{sequence: r.Sequence, receivedAt: now, usage: usage}
 	}
 	for id, r := range t.reports {
-		if now.Sub(r.at) > usageTTL {
+		if now.Sub(r.receivedAt) > usageTTL {
 			delete(t.reports, id)
 		}
 	}
 }
 
-// encode returns the instance's own report and some of the others, at random.
-func (t *usageTable) encode(self string, rnd *rand.Rand) []*peerv1.UsageReport {
+// reportsToSend returns the instance's own report and a random choice of the others.
+func (t *usageTable) reportsToSend(self string, rnd *rand.Rand) []*peerv1.UsageReport {
 	ids := make([]string, 0, len(t.reports))
 	for id := range t.reports {
 		if id != self {
@@ -91,23 +96,23 @@
 	}
 	sort.Strings(ids)
 	rnd.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	// Relays pay in a small fleet only: in a large one the reports of all would not fit
-	// what an instance may send, and instances fall back to an equal share.
+	// Relay reports in a small fleet only. In a large one the reports of all instances would exceed
+	// what an instance may send, and instances fall back to an equal share of the limits.
 	relays := 0
-	if len(ids) <= relayUpTo {
-		relays = min(len(ids), usageRelays)
+	if len(ids) <= maxReportersForRelay {
+		relays = min(len(ids), maxRelayedReports)
 	}
 	ids = append([]string{self}, ids[:relays]...)
 	var out []*peerv1.UsageReport
 	for _, id := range ids {
 		if r := t.reports[id]; r != nil {
-			out = append(out, encodeUsage(id, r))
+			out = append(out, encodeReport(id, r))
 		}
 	}
 	return out
 }
 
-func encodeUsage(id string, r *usageReport) *peerv1.UsageReport {
+func encodeReport(id string, r *usageReport) *peerv1.UsageReport {
 	p := &peerv1.UsageReport{Instance: id, Sequence: r.sequence}
 	for k, u := range r.usage {
 		p.Usage = append(p.Usage, &peerv1.Usage{Key: k, Running: uint32(u.Running), Rate: float32(u.Rate)})
@@ -115,9 +120,9 @@
 	return p
 }
 
-// sum adds up what the live members besides self use, by limit, and tells how many of
-// them have told.
-func (t *usageTable) sum(self string, members []membership.Member) (map[string]limits.Usage, limits.FleetUsage) {
+// sumOthers returns the sum of what the live members besides self use, by limit. The FleetUsage
+// counts the live members and those of the others that have reported; its Others is zero.
+func (t *usageTable) sumOthers(self string, members []membership.Member) (map[string]limits.Usage, limits.FleetUsage) {
 	out, fleet := map[string]limits.Usage{}, limits.FleetUsage{}
 	for i := range members {
 		if members[i].State != membership.Alive {
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -91,12 +91,12 @@
 
 // Heartbeat answers a heartbeat.
 func (s *Service) Heartbeat(_ context.Context, r *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error) {
-	return connect.NewResponse(s.Fleet.Heartbeat(r.Msg)), nil
+	return connect.NewResponse(s.Fleet.HandleHeartbeat(r.Msg)), nil
 }
 
 // IndirectPing pings a member for a peer.
 func (s *Service) IndirectPing(ctx context.Context, r *connect.Request[peerv1.IndirectPingRequest]) (*connect.Response[peerv1.IndirectPingResponse], error) {
-	return connect.NewResponse(s.Fleet.IndirectPing(ctx, r.Msg)), nil
+	return connect.NewResponse(s.Fleet.HandleIndirectPing(ctx, r.Msg)), nil
 }
 
 // PullConfiguration returns the records that differ from the caller's.
