--- a/cli/e2e/orders_test.go
+++ b/cli/e2e/orders_test.go
@@ -18,7 +18,7 @@
 func (w *world) holders() []int {
 	var out []int
 	for i, g := range w.gateways {
-		if g.Orders.Holds() {
+		if g.Orders.HoldsLease() {
 			out = append(out, i)
 		}
 	}
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -53,7 +53,7 @@
 	Pool     *peers.Pool
 	Pipeline *pipeline.Pipeline
 	Tickets  *once.Tickets
-	Orders   *orders.Orders
+	Orders   *orders.Controller
 
 	settings  *settings.Settings
 	telemetry *telemetry.Telemetry
@@ -116,7 +116,7 @@
 		Subset: s.Endpoints.Subset, Instance: s.Instance.ID, Log: t.Log, Scope: t.Scope, Seed: rand.Uint64(),
 	})
 	d.Orders = orders.New(orders.Options{
-		Name: s.Instance.ID, Settings: lease.DefaultSettings(), Pace: lease.DefaultPlannerSettings(), Platform: d.platform,
+		Name: s.Instance.ID, Lease: lease.DefaultSettings(), Planner: lease.DefaultPlannerSettings(), Platform: d.platform,
 		Config: d.Config, Backends: d.Backends, Client: client, Log: t.Log, Scope: t.Scope, Candidate: d.reads,
 	})
 	d.running = running.New(running.Options{
@@ -259,7 +259,7 @@
 // run starts the parts that work on their own.
 func (d *Daemon) run(ctx context.Context) {
 	sweeper := &once.Sweeper{
-		Platform: d.platform, Enabled: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Interval: sweepEvery, DeletesPerSecond: sweepRate, Scope: d.telemetry.Scope,
+		Platform: d.platform, Enabled: d.Orders.HoldsLease, TTL: d.settings.Tickets.ClaimTTL, Interval: sweepEvery, DeletesPerSecond: sweepRate, Scope: d.telemetry.Scope,
 	}
 	parts := []func(context.Context){d.shareEndpoints, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.follow, d.crashes.Run, d.peering.AskCrashes}
 	if d.settings.Instance.Register {
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -1,10 +1,12 @@
-// Package orders carries out core/lease: it holds the orders lease in the platform and
-// gives engines the orders that deployments ask for.
+// Package orders executes the decisions of core/lease. It holds the orders lease in the platform's
+// store and gives engines the orders that deployments require. Only the holder of the lease gives
+// orders.
 //
-// Failure modes: the platform is down (the lease runs out, no order is given, running work
-// goes on); this instance was paused past its lease (the check right before each order
-// stops it; an engine that checks fencing refuses what is late all the same); an engine
-// does not answer (the order is given again later, it is declarative).
+// Failure modes:
+//   - The platform is down: the lease expires and no order is given; running work goes on.
+//   - This instance was paused past its lease: the check right before each order stops it. If the
+//     order is late all the same, an engine that checks fencing numbers refuses it.
+//   - An engine does not answer: the order is given again later, since orders are declarative.
 package orders
 
 import (
@@ -27,64 +29,67 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// The lease's object in the platform.
+// Kind and name of the lease's object in the platform's store.
 const (
 	KindLease = "lease"
-	nameLease = "orders"
+	leaseName = "orders"
 )
 
-// Options of orders.
+// Options of a [Controller].
 type Options struct {
+	// Name identifies this instance as the holder of the lease.
 	Name     string
-	Settings lease.Settings
-	Pace     lease.PlannerSettings
+	Lease    lease.Settings
+	Planner  lease.PlannerSettings
 	Platform platform.Client
 	Config   *config.Config
 	Backends *backends.Backends
 	Client   *endpoint.Client
 	Log      *logrus.Entry
 	Scope    tally.Scope
-	// Candidate tells whether this instance tries to hold the lease.
+	// Candidate reports whether this instance may try to acquire the lease. A holder renews the
+	// lease without asking.
 	Candidate func() bool
 }
 
-// Orders is this instance's part in giving orders. It is safe for concurrent use.
-type Orders struct {
+// Controller tries to hold the lease and gives orders while it does. It is safe for concurrent use.
+type Controller struct {
 	opt     Options
 	mu      sync.Mutex
 	holder  *lease.Holder
 	planner *lease.Planner
-	held    bool
+	held    bool // whether the lease was held at the last check
 }
 
-// New returns orders without the lease.
-func New(opt Options) *Orders {
-	return &Orders{opt: opt, holder: lease.New(opt.Settings, opt.Name, rand.Uint64), planner: lease.NewPlanner(opt.Pace)}
+// New returns a controller that does not hold the lease.
+func New(opt Options) *Controller {
+	return &Controller{opt: opt, holder: lease.New(opt.Lease, opt.Name, rand.Uint64), planner: lease.NewPlanner(opt.Planner)}
 }
 
 const (
-	tick         = 200 * time.Millisecond
+	tickInterval = 200 * time.Millisecond
 	orderTimeout = time.Second
 )
 
-// Run holds the lease and gives orders until ctx ends, and then gives the lease up.
-func (o *Orders) Run(ctx context.Context) {
+// Run tries to hold the lease and gives orders until ctx is done. It then releases the lease.
+func (o *Controller) Run(ctx context.Context) {
 	defer o.release()
-	pause.Every(ctx, tick, func() {
-		o.renew(ctx)
-		o.give(ctx)
+	pause.Every(ctx, tickInterval, func() {
+		o.tickLease(ctx)
+		o.giveNext(ctx)
 	})
 }
 
-// Holds tells whether this instance holds the lease now.
-func (o *Orders) Holds() bool {
+// HoldsLease reports whether this instance holds a valid lease now.
+func (o *Controller) HoldsLease() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_, ok := o.holder.Valid(time.Now())
 	return ok
 }
 
-func (o *Orders) renew(ctx context.Context) {
+// tickLease advances the lease: it acquires or renews it when that is due.
+func (o *Controller) tickLease(ctx context.Context) {
 	now := time.Now()
 	o.mu.Lock()
 	_, valid := o.holder.Valid(now)
@@ -93,46 +98,49 @@
 		a = o.holder.Tick(now)
 	}
 	o.mu.Unlock()
-	o.carryOut(ctx, a)
-	o.noteChange()
+	o.execute(ctx, a)
+	o.updateHeld()
 }
 
-func (o *Orders) carryOut(ctx context.Context, a lease.Action) {
+// execute executes an action of the lease and reports the result to the holder; a may be nil.
+func (o *Controller) execute(ctx context.Context, a lease.Action) {
 	switch a := a.(type) {
 	case lease.Read:
-		obj, err := o.opt.Platform.Get(ctx, KindLease, nameLease)
+		obj, err := o.opt.Platform.Get(ctx, KindLease, leaseName)
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if errorx.IsOfType(err, platform.ErrNotFound) {
 			o.holder.ReportRead(time.Now(), lease.Done, lease.Object{})
 			return
 		}
-		o.holder.ReportRead(time.Now(), resultOf(err), decode(obj))
+		o.holder.ReportRead(time.Now(), resultOf(err), decodeLease(obj))
 	case lease.Write:
-		raw, err := json.Marshal(stored{a.Object.Holder, a.Object.Nonce, a.Object.Released})
+		raw, err := json.Marshal(leaseObject{a.Object.Holder, a.Object.Nonce, a.Object.Released})
 		if err != nil { // strings and numbers always encode
 			panic(err)
 		}
-		obj, err := o.opt.Platform.Put(ctx, KindLease, nameLease, raw, a.IfVersion)
+		obj, err := o.opt.Platform.Put(ctx, KindLease, leaseName, raw, a.IfVersion)
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.holder.ReportWrite(time.Now(), resultOf(err), decode(obj))
+		o.holder.ReportWrite(time.Now(), resultOf(err), decodeLease(obj))
 	}
 }
 
-// stored is the lease's object as it is kept.
-type stored struct {
+// leaseObject is the stored form of the lease.
+type leaseObject struct {
 	Holder   string `json:"holder"`
 	Nonce    uint64 `json:"nonce,string"`
 	Released bool   `json:"released,omitempty"`
 }
 
-func decode(obj platform.Object) lease.Object {
-	var s stored
-	_ = json.Unmarshal(obj.Value, &s) // an unreadable lease is another's, until its time is over
+func decodeLease(obj platform.Object) lease.Object {
+	var s leaseObject
+	_ = json.Unmarshal(obj.Value, &s) // an unreadable lease counts as another holder's until it expires
 	return lease.Object{Version: obj.Version, Holder: s.Holder, Nonce: s.Nonce, Released: s.Released}
 }
 
+// resultOf returns the result of a call to the platform. Errors other than a conflict or a lost
+// answer become [lease.Unavailable].
 func resultOf(err error) lease.Result {
 	switch {
 	case err == nil:
@@ -145,7 +153,8 @@
 	return lease.Unavailable
 }
 
-func (o *Orders) noteChange() {
+// updateHeld resets the planner and logs when the lease was acquired or lost.
+func (o *Controller) updateHeld() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	fence, held := o.holder.Valid(time.Now())
@@ -158,15 +167,16 @@
 	o.opt.Log.WithField("held", held).WithField("fence", fence).Info("orders lease changed")
 }
 
-// give gives the next order, if there is one and the lease is valid.
-func (o *Orders) give(ctx context.Context) {
+// giveNext gives the next order, if there is one and the lease is valid. An order that fails is not
+// reported to the planner, which returns it again.
+func (o *Controller) giveNext(ctx context.Context) {
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if _, ok := o.holder.Valid(now); !ok {
 		return
 	}
-	order, ok := o.planner.Next(now, o.wants(), o.engines())
+	order, ok := o.planner.Next(now, o.deploymentSpecs(), o.availableEngines())
 	if !ok {
 		return
 	}
@@ -174,7 +184,7 @@
 	if !ok {
 		return
 	}
-	// Right before the order, so that a pause since the plan is noticed.
+	// Check again right before the order, in case the process was paused since the first check.
 	fence, ok := o.holder.Valid(time.Now())
 	if !ok {
 		return
@@ -191,7 +201,8 @@
 	o.opt.Log.WithFields(logrus.Fields{"engine": order.Engine, "deployment": order.Deployment, "fence": fence}).Info("order given")
 }
 
-func (o *Orders) wants() []lease.DeploymentSpec {
+// deploymentSpecs returns the specs of all deployments that run on engines.
+func (o *Controller) deploymentSpecs() []lease.DeploymentSpec {
 	var out []lease.DeploymentSpec
 	for _, d := range o.opt.Config.Deployments() {
 		if d.Plain {
@@ -205,8 +216,8 @@
 	return out
 }
 
-// engines returns the engines that take orders: live and answering.
-func (o *Orders) engines() []lease.Engine {
+// availableEngines returns the engines that take orders: those that are live and not suspected.
+func (o *Controller) availableEngines() []lease.Engine {
 	var out []lease.Engine
 	for _, e := range o.opt.Backends.List() {
 		if e.State != routing.Live || e.Suspected {
@@ -229,8 +240,8 @@
 	return out
 }
 
-// release gives the lease up on the way out.
-func (o *Orders) release() {
+// release releases the lease, if it is held.
+func (o *Controller) release() {
 	o.mu.Lock()
 	a := o.holder.Release(time.Now())
 	o.mu.Unlock()
@@ -239,5 +250,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	o.carryOut(ctx, a)
+	o.execute(ctx, a)
 }
