--- a/gateway/once/once.go
+++ b/gateway/atmostonce/atmostonce.go
@@ -1,4 +1,4 @@
-// Package once runs non-idempotent calls at most once. A call runs either under a ticket, which
+// Package atmostonce runs non-idempotent calls at most once. A call runs either under a ticket, which
 // belongs to one process ([Tickets]), or under an idempotency key of the caller, which is claimed
 // in the platform's store ([Claims]). No call is ever run a second time.
 //
@@ -9,7 +9,7 @@
 //     that does not settle it, the call is refused as not run and the claim is released in the
 //     background.
 //   - An answer of the endpoint is lost: the outcome is reported as unknown.
-package once
+package atmostonce
 
 import (
 	"context"
--- a/gateway/once/claims.go
+++ b/gateway/atmostonce/claims.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
--- a/gateway/once/sweep_test.go
+++ b/gateway/atmostonce/sweep_test.go
@@ -1,4 +1,4 @@
-package once_test
+package atmostonce_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/agateway/agateway/core/ticket"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/network/memnet"
-	"github.com/agateway/agateway/gateway/once"
 	"github.com/agateway/agateway/gateway/platform"
 	"github.com/agateway/agateway/platform/standin"
 )
@@ -29,12 +29,12 @@
 		stop := standin.Serve(l, standin.NewStore(0))
 		p := platform.NewObjects("http://10.0.9.1:80", 2*time.Second, net.Node("instance"))
 		runs := 0
-		claims := &once.Claims{Platform: p, MaxKeptBodyBytes: 100, Scope: tally.NoopScope, Run: func(context.Context, *once.Call) once.Result {
+		claims := &atmostonce.Claims{Platform: p, MaxKeptBodyBytes: 100, Scope: tally.NoopScope, Run: func(context.Context, *atmostonce.Call) atmostonce.Result {
 			runs++
-			return once.Result{Outcome: ticket.Outcome{Status: 200}}
+			return atmostonce.Result{Outcome: ticket.Outcome{Status: 200}}
 		}}
 		do := func(key string) {
-			call := &once.Call{Team: "t", Method: "POST", Deadline: time.Now().Add(time.Second)}
+			call := &atmostonce.Call{Team: "t", Method: "POST", Deadline: time.Now().Add(time.Second)}
 			_, err := claims.Do(ctx, key, call)
 			assert.NilError(t, err)
 		}
@@ -44,7 +44,7 @@
 		time.Sleep(20 * time.Hour)
 		do("young")
 		var holds atomic.Bool
-		s := &once.Sweeper{Platform: p, Enabled: holds.Load, TTL: 24 * time.Hour, Interval: 10 * time.Minute, DeletesPerSecond: 5, Scope: tally.NoopScope}
+		s := &atmostonce.Sweeper{Platform: p, Enabled: holds.Load, TTL: 24 * time.Hour, Interval: 10 * time.Minute, DeletesPerSecond: 5, Scope: tally.NoopScope}
 		done := make(chan struct{})
 		go func() { defer close(done); s.Run(ctx) }()
 		time.Sleep(5 * time.Hour)
@@ -65,7 +65,7 @@
 }
 
 func countClaims(t *testing.T, p platform.Client) int {
-	objects, _, err := p.List(context.Background(), once.KindClaim)
+	objects, _, err := p.List(context.Background(), atmostonce.KindClaim)
 	assert.NilError(t, err)
 	n := 0
 	for _, o := range objects {
--- a/gateway/once/once_test.go
+++ b/gateway/atmostonce/tickets_test.go
@@ -1,4 +1,4 @@
-package once_test
+package atmostonce_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	peerv1 "github.com/agateway/agateway/api/peer/v1"
 	"github.com/agateway/agateway/core/membership"
 	"github.com/agateway/agateway/core/ticket"
-	"github.com/agateway/agateway/gateway/once"
+	"github.com/agateway/agateway/gateway/atmostonce"
 )
 
 type singleMember struct{}
@@ -32,11 +32,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runs := 0
-			tickets := once.NewTickets(once.Options{
+			tickets := atmostonce.NewTickets(atmostonce.Options{
 				Key: []byte("0123456789abcdef"), MaxEntries: 10, MaxOutcomeBytes: 1000, MaxKeptBodyBytes: 100, TTL: time.Minute, Fleet: singleMember{}, Scope: tally.NoopScope,
-				Run: func(context.Context, *once.Call) once.Result {
+				Run: func(context.Context, *atmostonce.Call) atmostonce.Result {
 					runs++
-					return once.Result{Outcome: ticket.Outcome{Status: 200}}
+					return atmostonce.Result{Outcome: ticket.Outcome{Status: 200}}
 				},
 			})
 			text, _ := tickets.Mint("team")
--- a/gateway/callers/callers.go
+++ b/gateway/callers/callers.go
@@ -10,9 +10,9 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/fleet"
-	"github.com/agateway/agateway/gateway/once"
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
@@ -21,7 +21,7 @@
 	Pipeline  *pipeline.Pipeline
 	Config    *config.Config
 	Fleet     *fleet.Fleet
-	Tickets   *once.Tickets
+	Tickets   *atmostonce.Tickets
 	EntryKeep time.Duration
 	Metrics   http.Handler
 	// Ready tells whether this instance is able to serve, and why not.
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -22,14 +22,15 @@
 	"github.com/agateway/agateway/core/membership"
 	"github.com/agateway/agateway/core/revision"
 	"github.com/agateway/agateway/core/routing"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/backends"
 	"github.com/agateway/agateway/gateway/callers"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/endpoint"
 	"github.com/agateway/agateway/gateway/fleet"
+	"github.com/agateway/agateway/gateway/generations"
 	"github.com/agateway/agateway/gateway/network"
-	"github.com/agateway/agateway/gateway/once"
 	"github.com/agateway/agateway/gateway/operator"
 	"github.com/agateway/agateway/gateway/orders"
 	"github.com/agateway/agateway/gateway/pause"
@@ -37,7 +38,6 @@
 	"github.com/agateway/agateway/gateway/peers"
 	"github.com/agateway/agateway/gateway/pipeline"
 	"github.com/agateway/agateway/gateway/platform"
-	"github.com/agateway/agateway/gateway/running"
 	"github.com/agateway/agateway/gateway/settings"
 	"github.com/agateway/agateway/gateway/telemetry"
 )
@@ -52,14 +52,14 @@
 	Backends *backends.Backends
 	Pool     *peers.Pool
 	Pipeline *pipeline.Pipeline
-	Tickets  *once.Tickets
+	Tickets  *atmostonce.Tickets
 	Orders   *orders.Controller
 
 	settings  *settings.Settings
 	telemetry *telemetry.Telemetry
 	network   network.Network
 	platform  *platform.Objects
-	running   *running.Directory
+	running   *generations.Directory
 	crashes   *crashes.Registry
 	peering   *peering.Service
 	servers   []*http.Server
@@ -119,14 +119,14 @@
 		Name: s.Instance.ID, Lease: lease.DefaultSettings(), Planner: lease.DefaultPlannerSettings(), Platform: d.platform,
 		Config: d.Config, Backends: d.Backends, Client: client, Log: t.Log, Scope: t.Scope, Candidate: d.reads,
 	})
-	d.running = running.New(running.Options{
+	d.running = generations.New(generations.Options{
 		Settings: directory.DefaultSettings(), Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Scope: t.Scope,
 		CancelOrphan: func(_ context.Context, e directory.Entry) {
 			d.Backends.Cancel(e.Place.Endpoint, e.Place.Stream, e.Place.Attempt)
 		},
 	})
-	run := func(ctx context.Context, c *once.Call) once.Result { return d.Pipeline.RunCall(ctx, c) }
-	d.Tickets = once.NewTickets(once.Options{
+	run := func(ctx context.Context, c *atmostonce.Call) atmostonce.Result { return d.Pipeline.RunCall(ctx, c) }
+	d.Tickets = atmostonce.NewTickets(atmostonce.Options{
 		Key: []byte(s.Keys.Cursor), MaxEntries: s.Tickets.Entries, MaxOutcomeBytes: s.Tickets.Bytes, MaxKeptBodyBytes: s.Tickets.BodyKept,
 		TTL: s.Tickets.TTL, Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Run: run, Scope: t.Scope,
 	})
@@ -141,7 +141,7 @@
 	})
 	d.Pipeline = pipeline.New(&pipeline.Deps{
 		Settings: s, Config: d.Config, Backends: d.Backends, Client: client, Crashes: d.crashes, Fleet: d.Fleet, Running: d.running,
-		Tickets: d.Tickets, Claims: &once.Claims{Platform: d.platform, Run: run, MaxKeptBodyBytes: s.Tickets.BodyKept, Scope: t.Scope},
+		Tickets: d.Tickets, Claims: &atmostonce.Claims{Platform: d.platform, Run: run, MaxKeptBodyBytes: s.Tickets.BodyKept, Scope: t.Scope},
 		Tracer: t.Tracer, Scope: t.Scope, Log: t.Log,
 	})
 	d.peering = &peering.Service{
@@ -258,7 +258,7 @@
 
 // run starts the parts that work on their own.
 func (d *Daemon) run(ctx context.Context) {
-	sweeper := &once.Sweeper{
+	sweeper := &atmostonce.Sweeper{
 		Platform: d.platform, Enabled: d.Orders.HoldsLease, TTL: d.settings.Tickets.ClaimTTL, Interval: sweepEvery, DeletesPerSecond: sweepRate, Scope: d.telemetry.Scope,
 	}
 	parts := []func(context.Context){d.shareEndpoints, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.follow, d.crashes.Run, d.peering.AskCrashes}
--- a/gateway/running/running.go
+++ b/gateway/generations/directory.go
@@ -1,11 +1,11 @@
-// Package running finds generations that run anywhere in the fleet. It keeps this instance's part
+// Package generations finds generations that run anywhere in the fleet. It keeps this instance's part
 // of the directory and calls the instances that hold the other entries.
 //
 // Failure modes:
 //   - A holder does not answer: it is skipped. If no holder knows a generation, the generation
 //     starts again, which costs extra work and never correctness.
 //   - The owner of an entry is gone and its caller does not return: the stream is cancelled.
-package running
+package generations
 
 import (
 	"context"
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -14,13 +14,13 @@
 	"github.com/agateway/agateway/core/crashers"
 	"github.com/agateway/agateway/core/membership"
 	"github.com/agateway/agateway/core/revision"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/fleet"
-	"github.com/agateway/agateway/gateway/once"
+	"github.com/agateway/agateway/gateway/generations"
 	"github.com/agateway/agateway/gateway/pause"
 	"github.com/agateway/agateway/gateway/peers"
-	"github.com/agateway/agateway/gateway/running"
 )
 
 // Service implements peerv1connect.PeerServiceHandler.
@@ -29,8 +29,8 @@
 
 	Config  *config.Config
 	Fleet   *fleet.Fleet
-	Running *running.Directory
-	Tickets *once.Tickets
+	Running *generations.Directory
+	Tickets *atmostonce.Tickets
 	Lists   *Lists
 	Crashes *crashes.Registry
 	Pool    *peers.Pool
--- a/gateway/pipeline/admit.go
+++ b/gateway/pipeline/admit.go
@@ -12,7 +12,7 @@
 	"github.com/agateway/agateway/core/cursor"
 	"github.com/agateway/agateway/core/generation"
 	"github.com/agateway/agateway/gateway/apierr"
-	"github.com/agateway/agateway/gateway/once"
+	"github.com/agateway/agateway/gateway/atmostonce"
 )
 
 // Headers of callers.
@@ -135,7 +135,7 @@
 	if q := x.R.URL.RawQuery; q != "" {
 		path += "?" + q
 	}
-	x.Call = &once.Call{
+	x.Call = &atmostonce.Call{
 		Team: x.Team.Name, Deployment: name, Method: x.R.Method, Path: path,
 		ContentType: x.R.Header.Get("Content-Type"), Body: body,
 	}
--- a/gateway/pipeline/claim.go
+++ b/gateway/pipeline/claim.go
@@ -11,7 +11,7 @@
 	"github.com/agateway/agateway/core/generation"
 	"github.com/agateway/agateway/core/ticket"
 	"github.com/agateway/agateway/gateway/apierr"
-	"github.com/agateway/agateway/gateway/once"
+	"github.com/agateway/agateway/gateway/atmostonce"
 )
 
 // claim settles who runs the request: a new generation, one taken over from an instance
@@ -117,16 +117,16 @@
 	ran   apierr.Ran
 	retry time.Duration
 }{
-	{once.ErrUnknown, apierr.OutcomeUnknown, apierr.Unknown, 0},
-	{once.ErrExpired, apierr.OutcomeUnknown, apierr.Unknown, 0},
-	{once.ErrInProgress, apierr.InProgress, apierr.Unknown, time.Second},
-	{once.ErrNotRun, apierr.Unavailable, apierr.NotRun, time.Second},
-	{once.ErrBusy, apierr.Unavailable, apierr.NotRun, time.Second},
-	{once.ErrMismatch, apierr.KeyMismatch, apierr.NotRun, 0},
-	{once.ErrBadTicket, apierr.BadTicket, apierr.NotRun, 0},
+	{atmostonce.ErrUnknown, apierr.OutcomeUnknown, apierr.Unknown, 0},
+	{atmostonce.ErrExpired, apierr.OutcomeUnknown, apierr.Unknown, 0},
+	{atmostonce.ErrInProgress, apierr.InProgress, apierr.Unknown, time.Second},
+	{atmostonce.ErrNotRun, apierr.Unavailable, apierr.NotRun, time.Second},
+	{atmostonce.ErrBusy, apierr.Unavailable, apierr.NotRun, time.Second},
+	{atmostonce.ErrMismatch, apierr.KeyMismatch, apierr.NotRun, 0},
+	{atmostonce.ErrBadTicket, apierr.BadTicket, apierr.NotRun, 0},
 }
 
-// OnceError turns an error of package once into a caller's.
+// OnceError turns an error of package atmostonce into a caller's.
 func OnceError(err error) error {
 	for _, e := range onceErrors {
 		if errorx.IsOfType(err, e.below) {
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -11,9 +11,9 @@
 	"github.com/agateway/agateway/core/generation"
 	"github.com/agateway/agateway/core/routing"
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/endpoint"
-	"github.com/agateway/agateway/gateway/once"
 )
 
 // identity names a generation, so that it is known when it comes again.
@@ -24,7 +24,7 @@
 }
 
 // identityOf names a call, so that it is known when it comes again.
-func identityOf(c *once.Call) crashers.Request {
+func identityOf(c *atmostonce.Call) crashers.Request {
 	return crashers.Request{Team: c.Team, Content: crashers.HashContent([]byte(c.Deployment), []byte(c.Method), []byte(c.Path), c.Body)}
 }
 
@@ -132,7 +132,7 @@
 	careful bool // it is tried, since endpoints ended under it
 }
 
-func newCallTrial(d *Deps, c *once.Call, service string) *callTrial {
+func newCallTrial(d *Deps, c *atmostonce.Call, service string) *callTrial {
 	return &callTrial{Deps: d, service: service, request: sync.OnceValue(func() crashers.Request { return identityOf(c) })}
 }
 
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -10,13 +10,13 @@
 
 	"github.com/agateway/agateway/core/generation"
 	"github.com/agateway/agateway/core/limits"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/backends"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/endpoint"
 	"github.com/agateway/agateway/gateway/fleet"
-	"github.com/agateway/agateway/gateway/once"
-	"github.com/agateway/agateway/gateway/running"
+	"github.com/agateway/agateway/gateway/generations"
 	"github.com/agateway/agateway/gateway/settings"
 )
 
@@ -29,9 +29,9 @@
 	// Crashes is what is known of requests that end endpoints.
 	Crashes *crashes.Registry
 	Fleet   *fleet.Fleet
-	Running *running.Directory
-	Tickets *once.Tickets
-	Claims  *once.Claims
+	Running *generations.Directory
+	Tickets *atmostonce.Tickets
+	Claims  *atmostonce.Claims
 	Tracer  trace.Tracer
 	Scope   tally.Scope
 	Log     *logrus.Entry
--- a/gateway/pipeline/dispatch.go
+++ b/gateway/pipeline/dispatch.go
@@ -12,9 +12,9 @@
 	"github.com/agateway/agateway/core/routing"
 	"github.com/agateway/agateway/core/ticket"
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/endpoint"
-	"github.com/agateway/agateway/gateway/once"
 )
 
 // dispatch sends the request to an endpoint. A generation's first attempt is started; a
@@ -72,11 +72,11 @@
 }
 
 // RunCall makes a call that may run at most once and reads its answer whole.
-func (p *Pipeline) RunCall(ctx context.Context, c *once.Call) once.Result {
+func (p *Pipeline) RunCall(ctx context.Context, c *atmostonce.Call) atmostonce.Result {
 	d := &dispatch{p.deps}
 	dep, ok := d.Config.Deployment(c.Deployment)
 	if !ok {
-		return once.Result{State: once.NotRun, Detail: "there is no such service any more"}
+		return atmostonce.Result{State: atmostonce.NotRun, Detail: "there is no such service any more"}
 	}
 	resp, done, err := d.call(ctx, dep, c)
 	if err != nil {
@@ -85,23 +85,23 @@
 	defer done()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostOutcome))
 	if err != nil {
-		return once.Result{State: once.Unknown, Detail: "the endpoint's answer broke off"}
+		return atmostonce.Result{State: atmostonce.Unknown, Detail: "the endpoint's answer broke off"}
 	}
-	return once.Result{State: once.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
+	return atmostonce.Result{State: atmostonce.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
 }
 
-func failedRun(err error) once.Result {
+func failedRun(err error) atmostonce.Result {
 	e := apierr.From(err)
-	r := once.Result{State: once.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
+	r := atmostonce.Result{State: atmostonce.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
 	if e.Ran == apierr.NotRun {
-		r.State = once.NotRun
+		r.State = atmostonce.NotRun
 	}
 	return r
 }
 
 // call makes a call, on another endpoint where that is allowed. done has to be called
 // when the answer was read.
-func (d *dispatch) call(ctx context.Context, dep *config.Deployment, c *once.Call) (*http.Response, func(), error) {
+func (d *dispatch) call(ctx context.Context, dep *config.Deployment, c *atmostonce.Call) (*http.Response, func(), error) {
 	req := d.request(dep, nil)
 	idempotent := dep.Idempotent(c.Method)
 	t := newCallTrial(d.Deps, c, dep.Service)
@@ -132,7 +132,7 @@
 
 // try makes a call at one endpoint. With limited set the endpoint's answer has to begin
 // soon, since another may be tried.
-func (d *dispatch) try(ctx context.Context, e *routing.Endpoint, c *once.Call, limited bool) (*http.Response, func(), error) {
+func (d *dispatch) try(ctx context.Context, e *routing.Endpoint, c *atmostonce.Call, limited bool) (*http.Response, func(), error) {
 	ctx, span := d.Tracer.Start(ctx, "endpoint")
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
--- a/gateway/pipeline/pipeline.go
+++ b/gateway/pipeline/pipeline.go
@@ -23,8 +23,8 @@
 	"github.com/agateway/agateway/core/limits"
 	"github.com/agateway/agateway/core/ticket"
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
-	"github.com/agateway/agateway/gateway/once"
 )
 
 // Form is the form in which a caller asked.
@@ -52,7 +52,7 @@
 
 	// Generation is set for completions, Call for plain services.
 	Generation *GenerationRequest
-	Call       *once.Call
+	Call       *atmostonce.Call
 	// Key is the caller's Idempotency-Key, Ticket its ticket; empty for none.
 	Key, Ticket string
 	// lastEvent is the cursor as the caller sent it; empty for none.
