--- a/gateway/callers/callers.go
+++ b/gateway/callers/callers.go
@@ -12,9 +12,9 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/fleet"
-	"github.com/agateway/agateway/gateway/once"
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
@@ -23,7 +23,7 @@
 	Pipeline *pipeline.Pipeline
 	Config   *config.Config
 	Fleet    *fleet.Fleet
-	Tickets  *once.Tickets
+	Tickets  *atmostonce.Tickets
 	// EntryTTL is how long callers may cache the answer to GET /v1/entry; 0 means not at all.
 	EntryTTL time.Duration
 	// Metrics serves GET /metrics.
@@ -91,7 +91,7 @@
 const maxEntryAddresses = 8
 
 func (o *Options) entry(w http.ResponseWriter, r *http.Request) {
-	members := o.Fleet.Entry(r.URL.Query().Get("data_centre"))
+	members := o.Fleet.EntryMembers(r.URL.Query().Get("data_centre"))
 	e := Entry{TTLSeconds: o.EntryTTL.Seconds(), Addresses: []EntryAddress{}}
 	for _, m := range members[:min(len(members), maxEntryAddresses)] {
 		e.Addresses = append(e.Addresses, EntryAddress{m.Address, m.ID, m.DataCentre})
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -22,14 +22,15 @@
 	"github.com/agateway/agateway/core/membership"
 	"github.com/agateway/agateway/core/revision"
 	"github.com/agateway/agateway/core/routing"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/backends"
 	"github.com/agateway/agateway/gateway/callers"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/endpoint"
 	"github.com/agateway/agateway/gateway/fleet"
+	"github.com/agateway/agateway/gateway/generations"
 	"github.com/agateway/agateway/gateway/network"
-	"github.com/agateway/agateway/gateway/once"
 	"github.com/agateway/agateway/gateway/operator"
 	"github.com/agateway/agateway/gateway/orders"
 	"github.com/agateway/agateway/gateway/pause"
@@ -37,7 +38,6 @@
 	"github.com/agateway/agateway/gateway/peers"
 	"github.com/agateway/agateway/gateway/pipeline"
 	"github.com/agateway/agateway/gateway/platform"
-	"github.com/agateway/agateway/gateway/running"
 	"github.com/agateway/agateway/gateway/settings"
 	"github.com/agateway/agateway/gateway/telemetry"
 )
@@ -52,14 +52,14 @@
 	Backends *backends.Backends
 	Pool     *peers.Pool
 	Pipeline *pipeline.Pipeline
-	Tickets  *once.Tickets
-	Orders   *orders.Orders
+	Tickets  *atmostonce.Tickets
+	Orders   *orders.Controller
 
 	settings  *settings.Settings
 	telemetry *telemetry.Telemetry
 	network   network.Network
 	platform  *platform.Objects
-	running   *running.Running
+	running   *generations.Directory
 	crashes   *crashes.Registry
 	peering   *peering.Service
 	servers   []*http.Server
@@ -116,18 +116,18 @@
 		Subset: s.Endpoints.Subset, Instance: s.Instance.ID, Log: t.Log, Scope: t.Scope, Seed: rand.Uint64(),
 	})
 	d.Orders = orders.New(orders.Options{
-		Name: s.Instance.ID, Settings: lease.DefaultSettings(), Pace: lease.DefaultPlannerSettings(), Platform: d.platform,
+		Name: s.Instance.ID, Lease: lease.DefaultSettings(), Planner: lease.DefaultPlannerSettings(), Platform: d.platform,
 		Config: d.Config, Backends: d.Backends, Client: client, Log: t.Log, Scope: t.Scope, Candidate: d.reads,
 	})
-	d.running = running.New(running.Options{
+	d.running = generations.New(generations.Options{
 		Settings: directory.DefaultSettings(), Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Scope: t.Scope,
-		Orphan: func(_ context.Context, e directory.Entry) {
+		CancelOrphan: func(_ context.Context, e directory.Entry) {
 			d.Backends.Cancel(e.Place.Endpoint, e.Place.Stream, e.Place.Attempt)
 		},
 	})
-	run := func(ctx context.Context, c *once.Call) once.Result { return d.Pipeline.RunCall(ctx, c) }
-	d.Tickets = once.NewTickets(once.Options{
-		Key: []byte(s.Keys.Cursor), Entries: s.Tickets.Entries, Bytes: s.Tickets.Bytes, BodyKept: s.Tickets.BodyKept,
+	run := func(ctx context.Context, c *atmostonce.Call) atmostonce.Result { return d.Pipeline.RunCall(ctx, c) }
+	d.Tickets = atmostonce.NewTickets(atmostonce.Options{
+		Key: []byte(s.Keys.Cursor), MaxEntries: s.Tickets.Entries, MaxOutcomeBytes: s.Tickets.Bytes, MaxKeptBodyBytes: s.Tickets.BodyKept,
 		TTL: s.Tickets.TTL, Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Run: run, Scope: t.Scope,
 	})
 	met := make(chan struct{})
@@ -141,7 +141,7 @@
 	})
 	d.Pipeline = pipeline.New(&pipeline.Deps{
 		Settings: s, Config: d.Config, Backends: d.Backends, Client: client, Crashes: d.crashes, Fleet: d.Fleet, Running: d.running,
-		Tickets: d.Tickets, Claims: &once.Claims{Platform: d.platform, Run: run, BodyKept: s.Tickets.BodyKept, Scope: t.Scope},
+		Tickets: d.Tickets, Claims: &atmostonce.Claims{Platform: d.platform, Run: run, MaxKeptBodyBytes: s.Tickets.BodyKept, Scope: t.Scope},
 		Tracer: t.Tracer, Scope: t.Scope, Log: t.Log,
 	})
 	d.peering = &peering.Service{
@@ -160,13 +160,13 @@
 			Process: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
 		},
 		Settings: set, Timeout: s.Peers.Timeout, Seeds: s.Peers.Seeds, Pool: d.Pool, Log: t.Log, Scope: t.Scope,
-		Figures: d.figures,
-		Behind:  func(m membership.Member) { d.peering.Pull(m) },
+		Stats:            d.figures,
+		OnConfigMismatch: func(m membership.Member) { d.peering.Pull(m) },
 	})
 }
 
-func (d *Daemon) figures() fleet.Figures {
-	return fleet.Figures{Open: uint32(d.Pipeline.OpenRequests()), Configuration: d.Config.Digest(), Usage: d.Pipeline.Usage()}
+func (d *Daemon) figures() fleet.Stats {
+	return fleet.Stats{OpenRequests: uint32(d.Pipeline.OpenRequests()), ConfigDigest: d.Config.Digest(), Usage: d.Pipeline.Usage()}
 }
 
 func (d *Daemon) lists() *peering.Lists {
@@ -258,8 +258,8 @@
 
 // run starts the parts that work on their own.
 func (d *Daemon) run(ctx context.Context) {
-	sweeper := &once.Sweeper{
-		Platform: d.platform, Holds: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Every: sweepEvery, PerSecond: sweepRate, Scope: d.telemetry.Scope,
+	sweeper := &atmostonce.Sweeper{
+		Platform: d.platform, Enabled: d.Orders.HoldsLease, TTL: d.settings.Tickets.ClaimTTL, Interval: sweepEvery, DeletesPerSecond: sweepRate, Scope: d.telemetry.Scope,
 	}
 	parts := []func(context.Context){d.shareEndpoints, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.follow, d.crashes.Run, d.peering.AskCrashes}
 	if d.settings.Instance.Register {
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -14,13 +14,13 @@
 	"github.com/agateway/agateway/core/crashers"
 	"github.com/agateway/agateway/core/membership"
 	"github.com/agateway/agateway/core/revision"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/fleet"
-	"github.com/agateway/agateway/gateway/once"
+	"github.com/agateway/agateway/gateway/generations"
 	"github.com/agateway/agateway/gateway/pause"
 	"github.com/agateway/agateway/gateway/peers"
-	"github.com/agateway/agateway/gateway/running"
 )
 
 // Service implements peerv1connect.PeerServiceHandler.
@@ -29,8 +29,8 @@
 
 	Config  *config.Config
 	Fleet   *fleet.Fleet
-	Running *running.Running
-	Tickets *once.Tickets
+	Running *generations.Directory
+	Tickets *atmostonce.Tickets
 	Lists   *Lists
 	Crashes *crashes.Registry
 	Pool    *peers.Pool
@@ -91,12 +91,12 @@
 
 // Heartbeat answers a heartbeat.
 func (s *Service) Heartbeat(_ context.Context, r *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error) {
-	return connect.NewResponse(s.Fleet.Heartbeat(r.Msg)), nil
+	return connect.NewResponse(s.Fleet.HandleHeartbeat(r.Msg)), nil
 }
 
 // IndirectPing pings a member for a peer.
 func (s *Service) IndirectPing(ctx context.Context, r *connect.Request[peerv1.IndirectPingRequest]) (*connect.Response[peerv1.IndirectPingResponse], error) {
-	return connect.NewResponse(s.Fleet.IndirectPing(ctx, r.Msg)), nil
+	return connect.NewResponse(s.Fleet.HandleIndirectPing(ctx, r.Msg)), nil
 }
 
 // PullConfiguration returns the records that differ from the caller's.
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -11,9 +11,9 @@
 	"github.com/agateway/agateway/core/generation"
 	"github.com/agateway/agateway/core/routing"
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/crashes"
 	"github.com/agateway/agateway/gateway/endpoint"
-	"github.com/agateway/agateway/gateway/once"
 )
 
 // identity returns the identity of a generation, by which its retries are recognized. It does not
@@ -25,7 +25,7 @@
 }
 
 // callIdentity returns the identity of a plain call, by which its retries are recognized.
-func callIdentity(c *once.Call) crashers.Request {
+func callIdentity(c *atmostonce.Call) crashers.Request {
 	return crashers.Request{Team: c.Team, Content: crashers.HashContent([]byte(c.Deployment), []byte(c.Method), []byte(c.Path), c.Body)}
 }
 
@@ -143,7 +143,7 @@
 	careful bool // the call holds the trial of its request, since endpoints crashed while they had it
 }
 
-func newCallTrial(d *Deps, c *once.Call, service string) *callTrial {
+func newCallTrial(d *Deps, c *atmostonce.Call, service string) *callTrial {
 	return &callTrial{Deps: d, service: service, request: sync.OnceValue(func() crashers.Request { return callIdentity(c) })}
 }
 
--- a/gateway/pipeline/dispatch.go
+++ b/gateway/pipeline/dispatch.go
@@ -12,9 +12,9 @@
 	"github.com/agateway/agateway/core/routing"
 	"github.com/agateway/agateway/core/ticket"
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
 	"github.com/agateway/agateway/gateway/endpoint"
-	"github.com/agateway/agateway/gateway/once"
 )
 
 // dispatch sends the request to an endpoint. For a generation it starts the first attempt. A plain
@@ -74,11 +74,11 @@
 }
 
 // RunCall makes a call that may run at most once, and reads its answer into the result.
-func (p *Pipeline) RunCall(ctx context.Context, c *once.Call) once.Result {
+func (p *Pipeline) RunCall(ctx context.Context, c *atmostonce.Call) atmostonce.Result {
 	d := &dispatch{p.deps}
 	dep, ok := d.Config.Deployment(c.Deployment)
 	if !ok {
-		return once.Result{Ended: once.NotRun, Detail: "there is no such service any more"}
+		return atmostonce.Result{State: atmostonce.NotRun, Detail: "there is no such service any more"}
 	}
 	resp, done, err := d.callWithRetries(ctx, dep, c)
 	if err != nil {
@@ -87,25 +87,25 @@
 	defer done()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOutcomeBytes))
 	if err != nil {
-		return once.Result{Ended: once.Unknown, Detail: "the endpoint's answer broke off"}
+		return atmostonce.Result{State: atmostonce.Unknown, Detail: "the endpoint's answer broke off"}
 	}
-	return once.Result{Ended: once.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
+	return atmostonce.Result{State: atmostonce.Ran, Outcome: ticket.Outcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}}
 }
 
 // failedResult returns the result for a call that failed. Its outcome is unknown unless the error
 // says that the call did not run.
-func failedResult(err error) once.Result {
+func failedResult(err error) atmostonce.Result {
 	e := apierr.From(err)
-	r := once.Result{Ended: once.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
+	r := atmostonce.Result{State: atmostonce.Unknown, Detail: e.Message, RetryAfter: e.RetryAfter}
 	if e.Ran == apierr.NotRun {
-		r.Ended = once.NotRun
+		r.State = atmostonce.NotRun
 	}
 	return r
 }
 
 // callWithRetries makes a call, and retries it at other endpoints if that is allowed. The caller
 // calls the returned function when it has read the answer.
-func (d *dispatch) callWithRetries(ctx context.Context, dep *config.Deployment, c *once.Call) (*http.Response, func(), error) {
+func (d *dispatch) callWithRetries(ctx context.Context, dep *config.Deployment, c *atmostonce.Call) (*http.Response, func(), error) {
 	req := d.routingRequest(dep, nil)
 	idempotent := dep.Idempotent(c.Method)
 	t := newCallTrial(d.Deps, c, dep.Service)
@@ -137,7 +137,7 @@
 // callEndpoint makes a call at one endpoint. If mayRetry is set, the answer has to begin within
 // plainAttemptTimeout, since another endpoint can be tried. The caller calls the returned function
 // when it has read the answer.
-func (d *dispatch) callEndpoint(ctx context.Context, e *routing.Endpoint, c *once.Call, mayRetry bool) (*http.Response, func(), error) {
+func (d *dispatch) callEndpoint(ctx context.Context, e *routing.Endpoint, c *atmostonce.Call, mayRetry bool) (*http.Response, func(), error) {
 	ctx, span := d.Tracer.Start(ctx, "endpoint")
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
--- a/gateway/pipeline/pipeline.go
+++ b/gateway/pipeline/pipeline.go
@@ -25,8 +25,8 @@
 	"github.com/agateway/agateway/core/limits"
 	"github.com/agateway/agateway/core/ticket"
 	"github.com/agateway/agateway/gateway/apierr"
+	"github.com/agateway/agateway/gateway/atmostonce"
 	"github.com/agateway/agateway/gateway/config"
-	"github.com/agateway/agateway/gateway/once"
 )
 
 // Form is the API that a request uses.
@@ -54,7 +54,7 @@
 
 	// Generation is set for completions and chat, and Call for plain services.
 	Generation *GenerationRequest
-	Call       *once.Call
+	Call       *atmostonce.Call
 	// IdempotencyKey is the caller's Idempotency-Key header, and Ticket its ticket; empty if not
 	// sent.
 	IdempotencyKey, Ticket string
