--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -1,7 +1,8 @@
-// Package daemon puts an entry instance together and runs it.
+// Package daemon assembles an entry instance from its parts and runs it.
 //
-// Failure modes: an address that can't be listened on ends the start with an error; the
-// platform being down does not (the configuration comes from peers, or later).
+// Failure modes: if an address can't be listened on, the start fails with an error. If the
+// platform is down, the instance starts nevertheless and receives its configuration from peers, or
+// from the platform later.
 package daemon
 
 import (
@@ -44,7 +45,7 @@
 
 // Daemon is a running entry instance.
 type Daemon struct {
-	// Callers and Peers are the addresses listened on.
+	// Callers and Peers are the addresses that the instance listens on for callers and for peers.
 	Callers, Peers string
 
 	Config   *config.Config
@@ -55,41 +56,43 @@
 	Tickets  *once.Tickets
 	Orders   *orders.Orders
 
-	settings  *settings.Settings
-	telemetry *telemetry.Telemetry
-	network   network.Network
-	platform  *platform.Objects
-	running   *running.Running
-	crashes   *crashes.Registry
-	peering   *peering.Service
-	servers   []*http.Server
-	cancel    context.CancelFunc
-	closing   chan struct{} // closed when the drain begins
-	work      sync.WaitGroup
+	settings   *settings.Settings
+	telemetry  *telemetry.Telemetry
+	network    network.Network
+	platform   *platform.Objects
+	running    *running.Running
+	crashes    *crashes.Registry
+	peering    *peering.Service
+	servers    []*http.Server
+	cancel     context.CancelFunc
+	closing    chan struct{} // closed when the instance refuses new requests
+	background sync.WaitGroup
 }
 
-// Start listens and runs an instance. Logs go to out.
+// Start listens on the addresses in s and runs an instance until [Daemon.Drain] or [Daemon.Close].
+// It writes its logs to out. It returns an error if the log level or the trace exporter is
+// invalid, or if an address can't be listened on.
 func Start(s *settings.Settings, n network.Network, out io.Writer) (*Daemon, error) {
 	t, err := telemetry.New(s, out)
 	if err != nil {
 		return nil, err
 	}
-	callersAt, err := n.Listen(s.Instance.Callers)
+	callersListener, err := n.Listen(s.Instance.Callers)
 	if err != nil {
 		return nil, err
 	}
-	peersAt, err := n.Listen(s.Instance.Peers)
+	peersListener, err := n.Listen(s.Instance.Peers)
 	if err != nil {
-		_ = callersAt.Close()
+		_ = callersListener.Close()
 		return nil, err
 	}
-	d := &Daemon{Callers: callersAt.Addr().String(), Peers: peersAt.Addr().String(), settings: s, telemetry: t, network: n, closing: make(chan struct{})}
+	d := &Daemon{Callers: callersListener.Addr().String(), Peers: peersListener.Addr().String(), settings: s, telemetry: t, network: n, closing: make(chan struct{})}
 	d.build()
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	d.serve(callersAt, d.callersHandler(), nil)
-	d.serve(peersAt, d.peersHandler(), peerProtocols())
-	d.run(ctx)
+	d.serve(callersListener, d.callersHandler(), nil)
+	d.serve(peersListener, d.peersHandler(), peerProtocols())
+	d.startBackground(ctx)
 	t.Log.WithField("callers", d.Callers).WithField("peers", d.Peers).Info("started")
 	return d, nil
 }
@@ -101,7 +104,8 @@
 	return p
 }
 
-// build makes the parts and joins them.
+// build creates the parts and connects them. Their callbacks refer to fields of d that may be set
+// later, so no part may run before build has returned.
 func (d *Daemon) build() {
 	s, t := d.settings, d.telemetry
 	d.platform = platform.NewObjects(s.Platform.URL, s.Platform.Timeout, d.network)
@@ -109,15 +113,15 @@
 	client := endpoint.NewClient(s.Endpoints.ConnectTimeout, d.network)
 	d.Config = config.New(d.platform, t.Log, t.Scope, func(r []revision.Record) { d.peering.Spread(r) })
 	d.buildFleet()
-	view := routing.DefaultSettings()
-	view.QueueFactor = s.Endpoints.QueueFactor
+	routingSettings := routing.DefaultSettings()
+	routingSettings.QueueFactor = s.Endpoints.QueueFactor
 	d.Backends = backends.New(backends.Options{
-		Client: client, Settings: view, Poll: s.Endpoints.Poll, StatusTimeout: s.Endpoints.StatusTimeout,
+		Client: client, Settings: routingSettings, Poll: s.Endpoints.Poll, StatusTimeout: s.Endpoints.StatusTimeout,
 		Subset: s.Endpoints.Subset, Instance: s.Instance.ID, Log: t.Log, Scope: t.Scope, Seed: rand.Uint64(),
 	})
 	d.Orders = orders.New(orders.Options{
 		Name: s.Instance.ID, Settings: lease.DefaultSettings(), Pace: lease.DefaultPlannerSettings(), Platform: d.platform,
-		Config: d.Config, Backends: d.Backends, Client: client, Log: t.Log, Scope: t.Scope, Candidate: d.reads,
+		Config: d.Config, Backends: d.Backends, Client: client, Log: t.Log, Scope: t.Scope, Candidate: d.isPlatformReader,
 	})
 	d.running = running.New(running.Options{
 		Settings: directory.DefaultSettings(), Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Scope: t.Scope,
@@ -130,11 +134,11 @@
 		Key: []byte(s.Keys.Cursor), Entries: s.Tickets.Entries, Bytes: s.Tickets.Bytes, BodyKept: s.Tickets.BodyKept,
 		TTL: s.Tickets.TTL, Fleet: d.Fleet, Pool: d.Pool, Timeout: s.Peers.Timeout, Run: run, Scope: t.Scope,
 	})
-	met := make(chan struct{})
-	close(met) // the list of instances does not say which requests are stopped
+	discovered := make(chan struct{})
+	close(discovered) // nothing to wait for: the list of instances doesn't name stopped requests
 	d.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: d.platform.Store(),
-		Discovered: func() <-chan struct{} { return met },
+		Discovered: func() <-chan struct{} { return discovered },
 		Instances:  func() (int, int) { n := len(d.Fleet.Others()) + 1; return n, n },
 		Broadcast:  func(facts []crashers.Fact, complete bool) { d.peering.SpreadCrashes(facts, complete) },
 		OnStopped:  func(crashers.Request) {}, Log: t.Log, Scope: t.Scope,
@@ -146,39 +150,41 @@
 	})
 	d.peering = &peering.Service{
 		Config: d.Config, Fleet: d.Fleet, Running: d.running, Tickets: d.Tickets, Pool: d.Pool,
-		Timeout: s.Peers.Timeout, Scope: t.Scope, Lists: d.lists(), Crashes: d.crashes,
+		Timeout: s.Peers.Timeout, Scope: t.Scope, Lists: d.newLists(), Crashes: d.crashes,
 	}
 }
 
 func (d *Daemon) buildFleet() {
 	s, t := d.settings, d.telemetry
-	set := membership.DefaultSettings()
-	set.Interval = s.Peers.Interval
+	membershipSettings := membership.DefaultSettings()
+	membershipSettings.Interval = s.Peers.Interval
 	d.Fleet = fleet.New(fleet.Options{
 		Self: membership.Member{
 			ID: s.Instance.ID, DataCentre: s.Instance.DataCentre, Address: d.Callers, PeerAddress: d.Peers,
 			Process: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
 		},
-		Settings: set, Timeout: s.Peers.Timeout, Seeds: s.Peers.Seeds, Pool: d.Pool, Log: t.Log, Scope: t.Scope,
-		Figures: d.figures,
+		Settings: membershipSettings, Timeout: s.Peers.Timeout, Seeds: s.Peers.Seeds, Pool: d.Pool, Log: t.Log, Scope: t.Scope,
+		Figures: d.stats,
 		Behind:  func(m membership.Member) { d.peering.Pull(m) },
 	})
 }
 
-func (d *Daemon) figures() fleet.Figures {
+func (d *Daemon) stats() fleet.Figures {
 	return fleet.Figures{Open: uint32(d.Pipeline.Open()), Configuration: d.Config.Digest(), Usage: d.Pipeline.Usage()}
 }
 
-func (d *Daemon) lists() *peering.Lists {
+func (d *Daemon) newLists() *peering.Lists {
 	return &peering.Lists{
 		Platform: d.platform, Pool: d.Pool, Timeout: d.settings.Peers.Timeout, Every: d.settings.Platform.List,
-		Readers: d.readers, Take: d.takeList,
+		Readers: d.platformReaders, Take: d.applyList,
 	}
 }
 
-// readers returns the instances of this data centre that read the platform: the few that
-// rank highest among the live ones.
-func (d *Daemon) readers() ([]membership.Member, bool) {
+// platformReaders returns the other instances of this data centre that read the platform, and
+// whether this instance does. Readers are the few live instances that rank highest by rendezvous
+// hash, so the load on the platform does not grow with the number of instances. If no instance
+// qualifies, for example while the only one is leaving, this instance reads.
+func (d *Daemon) platformReaders() ([]membership.Member, bool) {
 	self := d.Fleet.Self()
 	byID := map[string]membership.Member{}
 	var ids []string
@@ -189,19 +195,20 @@
 		}
 	}
 	var out []membership.Member
-	reads := len(ids) == 0
+	isReader := len(ids) == 0
 	for _, id := range directory.Rank(directory.Key{ID: "readers"}, ids, d.settings.Platform.Watchers) {
 		if id == self.ID {
-			reads = true
+			isReader = true
 			continue
 		}
 		out = append(out, byID[id])
 	}
-	return out, reads
+	return out, isReader
 }
 
-// takeList takes the platform's list: endpoints, and members to try.
-func (d *Daemon) takeList(ctx context.Context, listed []platform.Listed) {
+// applyList applies the platform's list: its gateways become seeds of the membership, and its
+// endpoints those of the backends.
+func (d *Daemon) applyList(ctx context.Context, listed []platform.Listed) {
 	var members []membership.Member
 	for _, l := range listed {
 		if l.Role == platform.RoleGateway {
@@ -227,7 +234,8 @@
 	return mux
 }
 
-// ready tells whether this instance has a configuration to serve by.
+// ready reports whether this instance can serve: it has a configuration and is not leaving. If it
+// can't, it also returns the reason.
 func (d *Daemon) ready() (bool, string) {
 	if d.Config.Digest() == 0 {
 		return false, "no configuration yet"
@@ -256,46 +264,50 @@
 	}()
 }
 
-// run starts the parts that work on their own.
-func (d *Daemon) run(ctx context.Context) {
+// startBackground starts the loops of the parts. They run until ctx ends.
+func (d *Daemon) startBackground(ctx context.Context) {
 	sweeper := &once.Sweeper{
-		Platform: d.platform, Holds: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Every: sweepEvery, PerSecond: sweepRate, Scope: d.telemetry.Scope,
+		Platform: d.platform, Holds: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Every: sweepInterval, PerSecond: sweptPerSecond, Scope: d.telemetry.Scope,
 	}
-	parts := []func(context.Context){d.shareEndpoints, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.follow, d.crashes.Run, d.peering.AskCrashes}
+	loops := []func(context.Context){d.updateSubsets, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.followConfig, d.crashes.Run, d.peering.AskCrashes}
 	if d.settings.Instance.Register {
-		parts = append(parts, d.register)
+		loops = append(loops, d.register)
 	}
-	for _, p := range parts {
-		d.work.Go(func() { p(ctx) })
+	for _, p := range loops {
+		d.background.Go(func() { p(ctx) })
 	}
 }
 
-// Sweeps of old claims: often enough, and well below what the platform takes.
+// Old claims are swept often enough to bound their number. The rate, in deletions per second,
+// stays well below what the platform can handle.
 const (
-	sweepEvery = 10 * time.Minute
-	sweepRate  = 20
+	sweepInterval  = 10 * time.Minute
+	sweptPerSecond = 20
 )
 
-const watchPause = 100 * time.Millisecond
+const watchRetryPause = 100 * time.Millisecond
 
-// follow reads the configuration once, and then watches when it is this instance's turn.
-func (d *Daemon) follow(ctx context.Context) {
+// followConfig loads the configuration once. Afterwards it watches the platform for as long as
+// this instance is one of the platform's readers.
+func (d *Daemon) followConfig(ctx context.Context) {
 	if err := d.Config.Load(ctx); err != nil {
-		d.telemetry.Log.WithError(err).Warn("the platform gave no configuration; waiting for it and for peers")
+		d.telemetry.Log.WithError(err).Warn("failed to load the configuration from the platform; waiting for the platform or a peer")
 	}
-	d.Config.Follow(ctx, config.Sync{Wait: d.settings.Platform.Watch, Pause: watchPause, Watches: d.reads})
+	d.Config.Follow(ctx, config.Sync{Wait: d.settings.Platform.Watch, Pause: watchRetryPause, Watches: d.isPlatformReader})
 }
 
-// reads tells whether this instance is one of those of its data centre that read the platform.
-func (d *Daemon) reads() bool {
-	_, reads := d.readers()
-	return reads
+// isPlatformReader reports whether this instance is one of those of its data centre that read the
+// platform.
+func (d *Daemon) isPlatformReader() bool {
+	_, isReader := d.platformReaders()
+	return isReader
 }
 
-const shareEvery = time.Second
+const subsetInterval = time.Second
 
-// shareEndpoints keeps each instance's own part of the endpoints in step with the members.
-func (d *Daemon) shareEndpoints(ctx context.Context) {
+// updateSubsets tells the backends periodically which instances are live, since each instance's
+// own subset of the endpoints depends on it.
+func (d *Daemon) updateSubsets(ctx context.Context) {
 	for ctx.Err() == nil {
 		ids := []string{}
 		for _, m := range d.Fleet.Others() {
@@ -304,31 +316,33 @@
 			}
 		}
 		d.Backends.SetMembers(ids)
-		pause.For(ctx, shareEvery)
+		pause.For(ctx, subsetInterval)
 	}
 }
 
-// Registration in the platform's list.
+// An entry in the platform's list expires after three registration intervals without a renewal.
 const (
-	registerEvery = 5 * time.Second
-	registerTTL   = 15 * time.Second
+	registerInterval = 5 * time.Second
+	registerTTL      = 15 * time.Second
 )
 
 func (d *Daemon) register(ctx context.Context) {
 	d.registerOnce(ctx)
-	pause.Every(ctx, registerEvery, func() { d.registerOnce(ctx) })
+	pause.Every(ctx, registerInterval, func() { d.registerOnce(ctx) })
 }
 
 func (d *Daemon) registerOnce(ctx context.Context) {
 	self := d.Fleet.Self()
 	entry := platform.Listed{ID: self.ID, Role: platform.RoleGateway, Address: d.Peers, DataCentre: self.DataCentre, Leaving: self.Leaving}
 	if err := d.platform.Register(ctx, entry, registerTTL); err != nil {
-		d.telemetry.Log.WithError(err).Warn("own entry not renewed; tried again soon")
+		d.telemetry.Log.WithError(err).Warn("failed to renew this instance's entry in the platform's list; will retry")
 	}
 }
 
-// Drain shuts down gracefully: it leaves the entry answers, refuses new requests after a
-// while, lets those in progress end, and hands its ticket outcomes over.
+// Drain shuts down gracefully. It announces that the instance is leaving, waits until peers and
+// callers have learned it, and then refuses new requests. It waits for the requests in progress,
+// but at most for the configured drain time, and hands the outcomes of its tickets over to peers.
+// Finally it closes the instance.
 func (d *Daemon) Drain(ctx context.Context) {
 	log := d.telemetry.Log
 	log.Info("leaving")
@@ -336,22 +350,22 @@
 	pause.For(ctx, d.settings.Callers.DrainAnnounce)
 	d.Pipeline.Drain()
 	close(d.closing)
-	drain, cancel := context.WithTimeout(ctx, d.settings.Callers.Drain)
+	drainCtx, cancel := context.WithTimeout(ctx, d.settings.Callers.Drain)
 	defer cancel()
-	if err := d.servers[0].Shutdown(drain); err != nil {
-		log.WithField("open", d.Pipeline.Open()).Error("requests were still in progress when the time to drain was over")
+	if err := d.servers[0].Shutdown(drainCtx); err != nil {
+		log.WithField("open", d.Pipeline.Open()).Error("drain time exceeded with requests still in progress")
 	}
 	d.Tickets.HandOver(ctx)
 	log.Info("drained")
 	d.Close()
 }
 
-// Close ends the instance at once, as a crash does.
+// Close stops the instance at once, without a drain. To callers and peers it looks like a crash.
 func (d *Daemon) Close() {
 	d.cancel()
 	for _, s := range d.servers {
 		_ = s.Close()
 	}
-	d.work.Wait()
+	d.background.Wait()
 	d.telemetry.Close()
 }
