--- a/cli/bench/latency_bench_test.go
+++ b/cli/bench/latency_bench_test.go
@@ -37,7 +37,7 @@
 
 func (t *times) Acked(*endpoint.Ack) {}
 func (t *times) Token(int, []byte)   { t.at = append(t.at, time.Now()) }
-func (t *times) Alive()              {}
+func (t *times) Keepalive()          {}
 func (t *times) Ended(*endpoint.End) {}
 
 func (r *run) direct(b *testing.B, c *endpoint.Client, i, tokens int) []time.Time {
--- a/cli/e2e/contract_test.go
+++ b/cli/e2e/contract_test.go
@@ -70,7 +70,7 @@
 
 func (c *collect) Acked(a *endpoint.Ack)    { c.ack = a }
 func (c *collect) Token(_ int, text []byte) { c.tokens = append(c.tokens, string(text)) }
-func (c *collect) Alive()                   { c.alive++ }
+func (c *collect) Keepalive()               { c.alive++ }
 func (c *collect) Ended(e *endpoint.End)    { c.end = e }
 
 // TestEngineContract: what the adapter makes of an engine's answers and faults.
@@ -87,7 +87,7 @@
 		"dead":          {func(w *world, _ *engine.Engine) { w.killEngine(0) }, nil, endpoint.ErrRefused},
 		"cut off":       {func(w *world, _ *engine.Engine) { w.cutOff("e0") }, nil, endpoint.ErrRefused},
 		"dies at token": {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{DieAtToken: 10}) }, nil, endpoint.ErrBroken},
-		"crossed":       {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{Cross: true}) }, nil, endpoint.ErrCrossed},
+		"crossed":       {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{Cross: true}) }, nil, endpoint.ErrWrongRequest},
 		"no prefix":     {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{NoPrefix: true}) }, func(r *endpoint.StartRequest) { r.Prefix = []string{"a"} }, endpoint.ErrMismatch},
 		"other model":   {nil, func(r *endpoint.StartRequest) { r.Model = "x" }, endpoint.ErrRefused},
 		"bad request":   {nil, func(r *endpoint.StartRequest) { r.MaxTokens = 0 }, endpoint.ErrInvalid},
--- a/cli/standin/engine/cache.go
+++ b/cli/standin/engine/cache.go
@@ -63,7 +63,7 @@
 	if lost {
 		return
 	}
-	c.events = append(c.events, timedEvent{endpoint.CacheEvent{Sequence: c.seq, Prefix: endpoint.HashHex(prefix), Evicted: evicted}, due})
+	c.events = append(c.events, timedEvent{endpoint.CacheEvent{Sequence: c.seq, Prefix: endpoint.HexHash(prefix), Evicted: evicted}, due})
 	if len(c.events) > keptEvents {
 		c.events = c.events[len(c.events)-keptEvents:]
 	}
--- a/cli/standin/engine/http.go
+++ b/cli/standin/engine/http.go
@@ -186,7 +186,7 @@
 		c.flush = f.Flush
 	}
 	e.mu.Lock()
-	ack := endpoint.Ack{Generation: s.request.Generation, Attempt: attempt, Stream: s.id, Index: from, Hash: endpoint.HashHex(s.hashAt(from)), Version: s.request.Version, Cached: s.cached}
+	ack := endpoint.Ack{Generation: s.request.Generation, Attempt: attempt, Stream: s.id, Index: from, Hash: endpoint.HexHash(s.hashAt(from)), Version: s.request.Version, Cached: s.cached}
 	e.mu.Unlock()
 	c.event(endpoint.EventAck, "", ack)
 	c.flush()
@@ -229,7 +229,7 @@
 	fenced, gone, muted := s.attempt > c.attempt, s.gone, c.opening <= s.mutedTo
 	tokens := s.tokens[min(c.next, len(s.tokens)):]
 	done, f := s.done, e.fault
-	end := endpoint.End{Reason: "length", Total: len(s.tokens), Hash: endpoint.HashHex(s.rolling)}
+	end := endpoint.End{Reason: "length", Total: len(s.tokens), Hash: endpoint.HexHash(s.rolling)}
 	other := e.another(s)
 	e.mu.Unlock()
 	switch {
--- a/gateway/endpoint/engine.go
+++ b/gateway/endpoint/engine.go
@@ -20,75 +20,76 @@
 	"github.com/agateway/agateway/gateway/network"
 )
 
-// Client reaches endpoints. It is safe for concurrent use.
+// Client calls endpoints. It is safe for concurrent use.
 type Client struct {
-	single *http.Client // a connection for each call
-	pooled *http.Client // status reads and calls that may be repeated
+	unpooled *http.Client // uses a new connection for each call
+	pooled   *http.Client // for status reads and calls that may be repeated
 }
 
-// NewClient returns a client whose connections have to come about within connect.
+// NewClient returns a client. A connection attempt fails after connect.
 func NewClient(connect time.Duration, n network.Network) *Client {
 	dial := network.DialerWithTimeout(n, connect)
 	single := &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}
 	pooled := &http.Transport{DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 32, IdleConnTimeout: 20 * time.Second}
-	return &Client{single: &http.Client{Transport: single}, pooled: &http.Client{Transport: pooled}}
+	return &Client{unpooled: &http.Client{Transport: single}, pooled: &http.Client{Transport: pooled}}
 }
 
-// Open starts a stream.
+// Open starts a stream at the engine at address.
 func (c *Client) Open(ctx context.Context, address string, r *StartRequest) (*Stream, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return nil, ErrInvalid.Wrap(err, "can't encode")
 	}
-	return c.stream(ctx, http.MethodPost, address, "/v1/streams", raw, r.Generation, r.Attempt)
+	return c.openStream(ctx, http.MethodPost, address, "/v1/streams", raw, r.Generation, r.Attempt)
 }
 
-// Resume asks for a running stream from an index, under a higher attempt number; the
-// engine fences the attempts before it.
+// Resume reads a running stream from a token index on, under a higher attempt number. The engine
+// fences all earlier attempts.
 func (c *Client) Resume(ctx context.Context, address, generation, stream string, from, attempt int) (*Stream, error) {
 	q := url.Values{"from": {strconv.Itoa(from)}, "attempt": {strconv.Itoa(attempt)}}
 	path := "/v1/streams/" + url.PathEscape(stream) + "?" + q.Encode()
-	return c.stream(ctx, http.MethodGet, address, path, nil, generation, attempt)
+	return c.openStream(ctx, http.MethodGet, address, path, nil, generation, attempt)
 }
 
-func (c *Client) stream(ctx context.Context, method, address, path string, body []byte, generation string, attempt int) (*Stream, error) {
-	resp, err := c.do(ctx, c.single, method, address, path, body)
+func (c *Client) openStream(ctx context.Context, method, address, path string, body []byte, generation string, attempt int) (*Stream, error) {
+	resp, err := c.do(ctx, c.unpooled, method, address, path, body)
 	if err != nil {
 		return nil, err
 	}
 	return newStream(resp.Body, generation, attempt), nil
 }
 
-// Probe asks on a new connection how far a stream is.
+// Probe returns how far a stream has come. It uses a new connection.
 func (c *Client) Probe(ctx context.Context, address, stream string) (StreamState, error) {
 	var st StreamState
-	err := c.callJSON(ctx, c.single, http.MethodGet, address, "/v1/streams/"+url.PathEscape(stream)+"/state", nil, &st)
+	err := c.callJSON(ctx, c.unpooled, http.MethodGet, address, "/v1/streams/"+url.PathEscape(stream)+"/state", nil, &st)
 	return st, err
 }
 
-// Cancel drops a stream, unless the engine serves a higher attempt of it.
+// Cancel ends a stream, unless the engine already serves a higher attempt of it.
 func (c *Client) Cancel(ctx context.Context, address, stream string, attempt int) error {
 	path := "/v1/streams/" + url.PathEscape(stream) + "?attempt=" + strconv.Itoa(attempt)
-	return c.callJSON(ctx, c.single, http.MethodDelete, address, path, nil, nil)
+	return c.callJSON(ctx, c.unpooled, http.MethodDelete, address, path, nil, nil)
 }
 
-// Status reads an endpoint's own report, with its cache events after a sequence number.
+// Status reads the state that an endpoint reports, with its cache events after the sequence number
+// since.
 func (c *Client) Status(ctx context.Context, address string, since uint64) (Status, error) {
 	var st Status
 	err := c.callJSON(ctx, c.pooled, http.MethodGet, address, "/v1/status?cache_since="+strconv.FormatUint(since, 10), nil, &st)
 	if err != nil {
-		c.pooled.CloseIdleConnections() // the pooled connection may be the one that is silent
+		c.pooled.CloseIdleConnections() // the pooled connection may have stopped responding
 	}
 	return st, err
 }
 
-// Order gives an engine an order.
+// Order sends an order to an engine.
 func (c *Client) Order(ctx context.Context, address string, o *Order) error {
 	raw, err := json.Marshal(o)
 	if err != nil {
 		return ErrInvalid.Wrap(err, "can't encode")
 	}
-	return c.callJSON(ctx, c.single, http.MethodPost, address, "/v1/orders", raw, nil)
+	return c.callJSON(ctx, c.unpooled, http.MethodPost, address, "/v1/orders", raw, nil)
 }
 
 func (c *Client) callJSON(ctx context.Context, client *http.Client, method, address, path string, body []byte, out any) error {
@@ -115,7 +116,7 @@
 	if err != nil {
 		return nil, ErrInvalid.Wrap(err, "can't build the call")
 	}
-	req.GetBody = nil // never repeated by the transport
+	req.GetBody = nil // without GetBody the transport doesn't repeat the request
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	resp, err := client.Do(req)
 	if err != nil {
@@ -128,8 +129,8 @@
 	return nil, statusError(resp)
 }
 
-// transportError tells a connection that never came about, so that nothing ran, from
-// one that broke.
+// transportError distinguishes a connection that could not be established, so that nothing ran,
+// from one that broke later.
 func transportError(err error) error {
 	var op *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -142,11 +143,11 @@
 }
 
 func statusError(resp *http.Response) error {
-	const most = 512
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, most))
+	const maxTextBytes = 512
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxTextBytes))
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusNotFound, http.StatusGone:
-		return ErrRefused.New("status %d: %s", resp.StatusCode, text).WithProperty(retryAfter, readRetryAfter(resp.Header))
+		return ErrRefused.New("status %d: %s", resp.StatusCode, text).WithProperty(retryAfter, parseRetryAfter(resp.Header))
 	case http.StatusConflict:
 		return ErrFenced.New("%s", text)
 	case http.StatusUnprocessableEntity:
@@ -157,7 +158,7 @@
 	return ErrBroken.New("status %d: %s", resp.StatusCode, text)
 }
 
-func readRetryAfter(h http.Header) time.Duration {
+func parseRetryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.Atoi(h.Get("Retry-After-Ms")); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
@@ -165,7 +166,7 @@
 	return time.Duration(s) * time.Second
 }
 
-// RetryAfter returns the endpoint's own word on when to come back; 0 for none.
+// RetryAfter returns how long the endpoint asked to wait before a retry; 0 if it gave no time.
 func RetryAfter(err error) time.Duration {
 	d, ok := errorx.ExtractProperty(err, retryAfter)
 	if !ok {
--- a/gateway/endpoint/plain.go
+++ b/gateway/endpoint/plain.go
@@ -9,15 +9,15 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// HeaderRequestID names the request towards a plain service; a service that echoes it
-// lets us notice an answer that belongs to another request.
+// HeaderRequestID is the header with the request's id. If the service echoes it, the client
+// detects an answer that belongs to another request.
 const HeaderRequestID = "Agateway-Request-Id"
 
 // Call is a call to a plain service.
 type Call struct {
 	ID          string
 	Method      string
-	Path        string // with query
+	Path        string // includes the query
 	ContentType string
 	Header      http.Header // further headers to pass on
 	Body        []byte
@@ -25,16 +25,17 @@
 	Idempotent bool
 }
 
-// Do carries a call out. The response's body has to be closed. [ErrRefused] means that
-// it certainly did not run: no connection came about, or the service said so.
+// Do sends a call. The caller has to close the response's body. [ErrRefused] means that the call
+// certainly did not run: no connection was established, or the service said so.
 func (c *Client) Do(ctx context.Context, address string, call *Call) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return nil, ErrInvalid.Wrap(err, "can't build the call")
 	}
-	// net/http repeats a request that carries an Idempotency-Key, or whose body it can
-	// read again, when a pooled connection breaks. It must not: only we know whether a
-	// call may run twice. So no GetBody, and a connection of its own.
+	// When a pooled connection breaks, net/http repeats a request that has an Idempotency-Key or
+	// whose body can be read again. It must not do so here: only this system knows whether a call
+	// may run twice. So GetBody is nil, and a call that is not idempotent gets a connection of its
+	// own.
 	req.GetBody = nil
 	for name, values := range call.Header {
 		req.Header[name] = values
@@ -44,7 +45,7 @@
 	}
 	req.Header.Set(HeaderRequestID, call.ID)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	client := c.single
+	client := c.unpooled
 	if call.Idempotent {
 		client = c.pooled
 	}
@@ -55,20 +56,20 @@
 		}
 		return nil, transportError(err)
 	}
-	return checkAnswer(resp, call.ID)
+	return checkResponse(resp, call.ID)
 }
 
-func checkAnswer(resp *http.Response, id string) (*http.Response, error) {
+func checkResponse(resp *http.Response, id string) (*http.Response, error) {
 	if echo := resp.Header.Get(HeaderRequestID); echo != "" && echo != id {
 		_ = resp.Body.Close()
-		return nil, ErrCrossed.New("the answer belongs to request %q", echo)
+		return nil, ErrWrongRequest.New("the answer belongs to request %q", echo)
 	}
 	if resp.Header.Get(HeaderNotRun) != "" {
 		_ = resp.Body.Close()
-		return nil, ErrRefused.New("the service says that it did not run").WithProperty(retryAfter, readRetryAfter(resp.Header))
+		return nil, ErrRefused.New("the service says that it did not run").WithProperty(retryAfter, parseRetryAfter(resp.Header))
 	}
 	return resp, nil
 }
 
-// HeaderNotRun is set by a service on a response that says the call did not run.
+// HeaderNotRun is the header that a service sets on a response if the call did not run.
 const HeaderNotRun = "Agateway-Not-Run"
--- a/gateway/endpoint/stream_test.go
+++ b/gateway/endpoint/stream_test.go
@@ -11,13 +11,13 @@
 )
 
 type recorder struct {
-	acks, alive, ends int
-	tokens            []string
+	acks, keepalives, ends int
+	tokens                 []string
 }
 
 func (r *recorder) Acked(*Ack)            { r.acks++ }
 func (r *recorder) Token(_ int, t []byte) { r.tokens = append(r.tokens, string(t)) }
-func (r *recorder) Alive()                { r.alive++ }
+func (r *recorder) Keepalive()            { r.keepalives++ }
 func (r *recorder) Ended(*End)            { r.ends++ }
 
 const ackEvent = "event: ack\ndata: {\"generation\":\"g\",\"attempt\":1,\"stream\":\"s\",\"index\":0,\"hash\":\"0\"}\n\n"
@@ -32,15 +32,15 @@
 		"carriage returns":       {"event: ack\r\ndata: {\"generation\":\"g\",\"attempt\":1,\"stream\":\"s\"}\r\n\r\nid: s:0\r\ndata: \"a\"\r\n\r\nid: s:\r\nevent: end\r\ndata: {}\r\n\r\n", nil, []string{"a"}},
 		"unknown event":          {ackEvent + "event: news\ndata: 1\n\nid: s:\nevent: end\ndata: {}\n\n", nil, nil},
 		"breaks off":             {ackEvent + "id: s:0\ndata: \"a\"\n", ErrBroken, nil},
-		"token before ack":       {"id: s:0\ndata: \"a\"\n\n", ErrCrossed, nil},
-		"token of another":       {ackEvent + "id: x:0\ndata: \"a\"\n\n", ErrCrossed, nil},
-		"end of another":         {ackEvent + "id: x:\nevent: end\ndata: {}\n\n", ErrCrossed, nil},
-		"ack of another":         {"event: ack\ndata: {\"generation\":\"h\",\"attempt\":1,\"stream\":\"s\"}\n\n", ErrCrossed, nil},
-		"ack of another attempt": {"event: ack\ndata: {\"generation\":\"g\",\"attempt\":2,\"stream\":\"s\"}\n\n", ErrCrossed, nil},
+		"token before ack":       {"id: s:0\ndata: \"a\"\n\n", ErrWrongRequest, nil},
+		"token of another":       {ackEvent + "id: x:0\ndata: \"a\"\n\n", ErrWrongRequest, nil},
+		"end of another":         {ackEvent + "id: x:\nevent: end\ndata: {}\n\n", ErrWrongRequest, nil},
+		"ack of another":         {"event: ack\ndata: {\"generation\":\"h\",\"attempt\":1,\"stream\":\"s\"}\n\n", ErrWrongRequest, nil},
+		"ack of another attempt": {"event: ack\ndata: {\"generation\":\"g\",\"attempt\":2,\"stream\":\"s\"}\n\n", ErrWrongRequest, nil},
 		"no index":               {ackEvent + "id: s:x\ndata: \"a\"\n\n", ErrBroken, nil},
 		"no string":              {ackEvent + "id: s:0\ndata: {\n\n", ErrBroken, nil},
 		"fenced":                 {ackEvent + "event: fenced\ndata: {}\n\n", ErrFenced, nil},
-		"line too long":          {ackEvent + "data: " + string(bytes.Repeat([]byte("x"), 2*readBuffer)) + "\n\n", ErrBroken, nil},
+		"line too long":          {ackEvent + "data: " + string(bytes.Repeat([]byte("x"), 2*readBufferBytes)) + "\n\n", ErrBroken, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &recorder{}
@@ -63,51 +63,52 @@
 		r := &recorder{}
 		err := newStream(io.NopCloser(bytes.NewBufferString(text)), "g", 1).Receive(r)
 		if err == nil && r.ends != 1 {
-			t.Fatal("ended without an end")
+			t.Fatal("Receive returned no error without an end event")
 		}
 		if len(r.tokens) > 0 && r.acks == 0 {
-			t.Fatal("a token before the acknowledgement")
+			t.Fatal("token received before the acknowledgement")
 		}
 	})
 }
 
-// endless yields the same tokens again and again.
-type endless struct {
+// endlessReader yields head once and then repeats body forever.
+type endlessReader struct {
 	head, body []byte
-	at         int
+	offset     int
 }
 
-func (e *endless) Read(b []byte) (int, error) {
+func (e *endlessReader) Read(b []byte) (int, error) {
 	if len(e.head) > 0 {
 		n := copy(b, e.head)
 		e.head = e.head[n:]
 		return n, nil
 	}
-	n := copy(b, e.body[e.at:])
-	e.at = (e.at + n) % len(e.body)
+	n := copy(b, e.body[e.offset:])
+	e.offset = (e.offset + n) % len(e.body)
 	return n, nil
 }
 
-// stopper ends the stream after n tokens.
-type stopper struct {
+// limitedReceiver stops Receive after a number of tokens. It panics, since Receive has no other
+// way to end early.
+type limitedReceiver struct {
 	recorder
-	n int
+	remaining int
 }
 
-func (s *stopper) Token(int, []byte) {
-	if s.n--; s.n == 0 {
+func (s *limitedReceiver) Token(int, []byte) {
+	if s.remaining--; s.remaining == 0 {
 		panic(s)
 	}
 }
 
-// BenchmarkReceive measures the reading of one token from an engine.
+// BenchmarkReceive measures the parsing of one token.
 func BenchmarkReceive(b *testing.B) {
 	var body bytes.Buffer
 	for i := range 100 {
 		fmt.Fprintf(&body, "id: s:%d\ndata: \" token%d\"\n\n", i, i)
 	}
-	s := newStream(io.NopCloser(&endless{head: []byte(ackEvent), body: body.Bytes()}), "g", 1)
+	s := newStream(io.NopCloser(&endlessReader{head: []byte(ackEvent), body: body.Bytes()}), "g", 1)
 	b.ReportAllocs()
 	defer func() { _ = recover() }()
-	_ = s.Receive(&stopper{n: b.N})
+	_ = s.Receive(&limitedReceiver{remaining: b.N})
 }
--- a/gateway/pipeline/receiver.go
+++ b/gateway/pipeline/receiver.go
@@ -97,8 +97,8 @@
 	s.lastToken = now
 }
 
-// Alive implements endpoint.Receiver.
-func (r *receiver) Alive() {
+// Keepalive implements endpoint.Receiver.
+func (r *receiver) Keepalive() {
 	s := r.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/pipeline/streams.go
+++ b/gateway/pipeline/streams.go
@@ -125,7 +125,7 @@
 		return generation.Fenced
 	case errorx.IsOfType(err, endpoint.ErrInvalid):
 		return generation.Invalid
-	case errorx.IsOfType(err, endpoint.ErrCrossed):
+	case errorx.IsOfType(err, endpoint.ErrWrongRequest):
 		return generation.Gone
 	}
 	return generation.Broken
