--- a/gateway/backends/backends.go
+++ b/gateway/backends/backends.go
@@ -1,9 +1,11 @@
-// Package backends watches the endpoints and picks among them: the platform's list (a
-// hint that lags), each endpoint's own status, and what this instance sees of them.
+// Package backends keeps this instance's view of the endpoints and picks among them. The view
+// combines the platform's list, which is only a hint since it lags, the status that each endpoint
+// reports, and the results of this instance's own requests.
 //
-// Failure modes: the list is old or missing (the last one stays in use); an endpoint
-// does not answer its status reads (suspected after a few, then left out until it
-// answers); an endpoint says that it leaves (no new work at once, whatever the list says).
+// Failure modes: if the list is outdated or missing, the last one stays in use. An endpoint whose
+// status can't be read several times in a row becomes suspected, and is not picked until it
+// answers again. An endpoint that reports that it is leaving gets no new work, whatever the list
+// says.
 package backends
 
 import (
@@ -21,15 +23,16 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// Options of the backends.
+// Options configures Backends. Poll is the interval between two status reads of an endpoint, and
+// StatusTimeout bounds one read. Seed seeds the random choice among endpoints.
 type Options struct {
 	Client        *endpoint.Client
 	Settings      routing.Settings
 	Poll          time.Duration
 	StatusTimeout time.Duration
-	// Subset bounds the endpoints used per service; 0 uses all.
+	// Subset bounds the number of endpoints used per service; 0 uses all.
 	Subset int
-	// Instance names this instance, for the choice of the subset.
+	// Instance is the id of this instance. The choice of the subset depends on it.
 	Instance string
 	Log      *logrus.Entry
 	Scope    tally.Scope
@@ -40,51 +43,51 @@
 type Backends struct {
 	opt Options
 
-	mu       sync.Mutex
-	view     *routing.View
-	rnd      *rand.Rand
-	watchers map[string]*watcher
-	address  map[string]string // of all listed endpoints, by id
-	changed  chan struct{}     // closed when an endpoint may have become free
-	phase    time.Time         // turns of status reads are counted from here
+	mu        sync.Mutex
+	view      *routing.View
+	rnd       *rand.Rand
+	watchers  map[string]*watcher
+	addresses map[string]string // of all entries of the list, by id, including those outside the subset
+	changed   chan struct{}     // closed when an endpoint may have become free
+	pollEpoch time.Time         // status reads happen at multiples of the poll interval from here
 }
 
-// New returns a view without endpoints.
+// New returns Backends without endpoints.
 func New(opt Options) *Backends {
 	return &Backends{
-		phase: time.Now(), opt: opt, view: routing.NewView(opt.Settings), rnd: rand.New(rand.NewPCG(opt.Seed, 2)),
+		pollEpoch: time.Now(), opt: opt, view: routing.NewView(opt.Settings), rnd: rand.New(rand.NewPCG(opt.Seed, 2)),
 		watchers: map[string]*watcher{}, changed: make(chan struct{}),
 	}
 }
 
-// SetList takes the platform's list. Endpoints that it no longer names go; those that
-// this instance knows to be leaving stay so.
+// SetList applies the platform's list. Endpoints that are not in it are removed. An endpoint that
+// reported that it is leaving stays in that state.
 func (b *Backends) SetList(ctx context.Context, listed []platform.Listed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.address = make(map[string]string, len(listed))
+	b.addresses = make(map[string]string, len(listed))
 	for _, l := range listed {
-		b.address[l.ID] = l.Address
+		b.addresses[l.ID] = l.Address
 	}
 	listed = chooseSubset(listed, b.opt.Instance, b.opt.Subset)
-	keep := map[string]bool{}
+	kept := map[string]bool{}
 	for _, l := range listed {
 		if l.Role != platform.RoleEngine && l.Role != platform.RolePlain {
 			continue
 		}
-		keep[l.ID] = true
-		b.take(ctx, l)
+		kept[l.ID] = true
+		b.upsertListed(ctx, l)
 	}
-	b.view.Retain(keep)
+	b.view.Retain(kept)
 	for id, w := range b.watchers {
-		if !keep[id] {
+		if !kept[id] {
 			w.stop()
 			delete(b.watchers, id)
 		}
 	}
 }
 
-func (b *Backends) take(ctx context.Context, l platform.Listed) {
+func (b *Backends) upsertListed(ctx context.Context, l platform.Listed) {
 	e, known := b.view.Get(l.ID)
 	if known && e.Address != l.Address {
 		b.view.Forget(l.ID)
@@ -101,11 +104,11 @@
 	if w != nil {
 		w.stop()
 	}
-	b.watchers[l.ID] = b.watch(ctx, l.ID, l.Address)
+	b.watchers[l.ID] = b.startWatcher(ctx, l.ID, l.Address)
 }
 
-// SetMembers tells which instances are alive. Each endpoint is in the subset of the one that
-// ranks highest for it by rendezvous hash.
+// SetMembers sets the other live instances. An endpoint is in this instance's subset unless one of
+// them ranks higher for the endpoint by rendezvous hash.
 func (b *Backends) SetMembers(ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -120,8 +123,9 @@
 	})
 }
 
-// Pick chooses an endpoint and counts the request as sent; [Backends.Finished] has to
-// follow.
+// Pick chooses an endpoint for a request and counts the request as sent to it. The caller has to
+// call [Backends.Finished] afterwards. If no endpoint fits, Pick returns the error of
+// [routing.View.Pick] and counts nothing.
 func (b *Backends) Pick(now time.Time, r *routing.Request) (routing.Decision, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,85 +136,88 @@
 	return d, err
 }
 
-// Sent counts a request at an endpoint that was not picked, such as a stream taken over.
+// Sent counts a request as sent to an endpoint that was not picked, such as that of a stream taken
+// over.
 func (b *Backends) Sent(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.view.Sent(time.Now(), id)
 }
 
-// Finished counts the end of a request.
+// Finished records that a request at an endpoint has ended.
 func (b *Backends) Finished(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.view.Finished(time.Now(), id)
-	b.wake()
+	b.notifyChanged()
 }
 
-// Failed records that an endpoint failed a request.
+// Failed records that an endpoint failed a request or did not answer its status reads. The
+// endpoint becomes suspected.
 func (b *Backends) Failed(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	if !b.view.Suspected(now, id) {
 		b.opt.Scope.Counter("endpoints_suspected").Inc(1)
-		b.opt.Log.WithField("endpoint", id).Warn("endpoint suspected")
+		b.opt.Log.WithField("endpoint", id).Warn("endpoint became suspected")
 	}
 	b.view.Failed(now, id)
 }
 
-// Succeeded clears the suspicion of an endpoint.
+// Succeeded records that an endpoint worked, which ends its suspicion.
 func (b *Backends) Succeeded(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.view.Succeeded(id)
 }
 
-// Get returns an endpoint.
+// Get returns an endpoint of the view, and whether it exists.
 func (b *Backends) Get(id string) (routing.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view.Get(id)
 }
 
-// Address returns the address of a listed endpoint, also of one that is not in the subset
+// Address returns the address of an entry of the list, even if the endpoint is outside the subset
 // that this instance picks from.
 func (b *Backends) Address(id string) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a, ok := b.address[id]
+	a, ok := b.addresses[id]
 	return a, ok
 }
 
-// List returns all endpoints with what is believed of them.
+// List returns the current status of all endpoints of the view.
 func (b *Backends) List() []routing.Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view.List(time.Now())
 }
 
-// Nearby returns how many endpoints there are in the data centre of an endpoint, and how many of them failed last within a
-// time.
-func (b *Backends) Nearby(id string, from, to time.Time) (failed, all int) {
+// DataCentreFailures returns how many endpoints the data centre of an endpoint has, and how many
+// of them had their last failure between from and to.
+func (b *Backends) DataCentreFailures(id string, from, to time.Time) (failed, all int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view.FailuresInDataCentre(id, from, to)
 }
 
-// Slots returns the slots of a service's endpoints that take work.
+// Slots returns the total slots of a service's endpoints that accept work.
 func (b *Backends) Slots(service string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view.Slots(time.Now(), service)
 }
 
-// wake tells those that wait for room to try again.
-func (b *Backends) wake() {
+// notifyChanged wakes up the requests that wait for free capacity. The caller holds b.mu.
+func (b *Backends) notifyChanged() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed when an endpoint may have become free.
+// Changed returns a channel that is closed when an endpoint may have free capacity. Each such
+// event needs a new call.
 func (b *Backends) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/backends/cancel.go
+++ b/gateway/backends/cancel.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// cancelPauses are the times between tries to cancel a stream: its engine may be frozen
-// and come back, and a stream that nobody reads is work thrown away.
-var cancelPauses = []time.Duration{0, 200 * time.Millisecond, time.Second, 4 * time.Second, 15 * time.Second}
+// cancelRetryPauses are the pauses before the attempts to cancel a stream. There are several
+// because its engine may be frozen and recover, and would then go on generating a stream that
+// nobody reads.
+var cancelRetryPauses = []time.Duration{0, 200 * time.Millisecond, time.Second, 4 * time.Second, 15 * time.Second}
 
 const cancelTimeout = time.Second
 
-// Cancel drops a stream, in the background. The engine ignores it when a higher attempt
-// took the stream over.
+// Cancel ends a stream in the background. The engine ignores it if a higher attempt has taken the
+// stream over. Nothing happens if the endpoint is not in the platform's list.
 func (b *Backends) Cancel(id, stream string, attempt int) {
 	address, ok := b.Address(id)
 	if !ok {
@@ -20,7 +21,7 @@
 	}
 	b.opt.Scope.Counter("streams_cancelled").Inc(1)
 	go func() {
-		for _, pause := range cancelPauses {
+		for _, pause := range cancelRetryPauses {
 			time.Sleep(pause)
 			ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 			err := b.opt.Client.Cancel(ctx, address, stream, attempt)
--- a/gateway/backends/watch.go
+++ b/gateway/backends/watch.go
@@ -11,20 +11,21 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// watcher reads one endpoint's status again and again.
+// watcher polls the status of one endpoint.
 type watcher struct {
 	address string
 	stop    context.CancelFunc
 
-	since  uint64 // last cache event seen
-	boot   string
-	misses int
+	lastCacheEvent uint64 // sequence number of the last cache event received
+	boot           string
+	misses         int
 }
 
-// missesToSuspect is how many status reads in a row may fail.
-const missesToSuspect = 2
+// missesUntilSuspected is the number of status reads that fail in a row before the endpoint
+// becomes suspected.
+const missesUntilSuspected = 2
 
-func (b *Backends) watch(ctx context.Context, id, address string) *watcher {
+func (b *Backends) startWatcher(ctx context.Context, id, address string) *watcher {
 	ctx, stop := context.WithCancel(ctx)
 	w := &watcher{address: address, stop: stop}
 	go b.poll(ctx, id, w)
@@ -34,24 +35,25 @@
 func (b *Backends) poll(ctx context.Context, id string, w *watcher) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, b.opt.StatusTimeout)
-		st, err := b.opt.Client.Status(callCtx, w.address, w.since)
+		st, err := b.opt.Client.Status(callCtx, w.address, w.lastCacheEvent)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			b.missed(id, w)
+			b.countMiss(id, w)
 		} else {
-			b.takeStatus(id, w, &st)
+			b.applyStatus(id, w, &st)
 		}
-		b.pause(ctx)
+		b.waitForNextPoll(ctx)
 	}
 }
 
-// pause waits for the next turn. All reads of an instance have their turn together, which
-// costs less processor time than as many wake-ups; instances differ in their phase.
-func (b *Backends) pause(ctx context.Context) {
-	since := time.Since(b.phase)
+// waitForNextPoll waits until the next poll, or until ctx ends. All status reads of an instance
+// happen together, since a wake-up for each costs more processor time. Instances poll at different
+// times, since each counts from its own start.
+func (b *Backends) waitForNextPoll(ctx context.Context) {
+	since := time.Since(b.pollEpoch)
 	t := time.NewTimer(b.opt.Poll - since%b.opt.Poll)
 	defer t.Stop()
 	select {
@@ -60,55 +62,56 @@
 	}
 }
 
-func (b *Backends) missed(id string, w *watcher) {
+func (b *Backends) countMiss(id string, w *watcher) {
 	w.misses++
 	b.opt.Scope.Counter("status_misses").Inc(1)
-	if w.misses >= missesToSuspect {
+	if w.misses >= missesUntilSuspected {
 		b.Failed(id)
 	}
 }
 
-func (b *Backends) takeStatus(id string, w *watcher, st *endpoint.Status) {
+func (b *Backends) applyStatus(id string, w *watcher, st *endpoint.Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if w.misses >= missesToSuspect {
+	if w.misses >= missesUntilSuspected {
 		b.view.Succeeded(id)
 		b.opt.Log.WithField("endpoint", id).Info("endpoint answers again")
 	}
 	w.misses = 0
-	b.describe(id, st)
+	b.updateEndpoint(id, st)
 	b.view.Report(now, id, routing.Load{Running: st.Running, Queued: st.Queued, Age: time.Duration(st.AgeMS) * time.Millisecond})
 	if w.boot != st.Boot {
 		if w.boot != "" {
 			b.view.CacheCleared(id)
 		}
-		w.boot, w.since = st.Boot, 0
+		w.boot, w.lastCacheEvent = st.Boot, 0
 	}
-	b.takeCacheEvents(now, id, w, st.Events)
-	b.wake()
+	b.applyCacheEvents(now, id, w, st.Events)
+	b.notifyChanged()
 }
 
-// describe takes the endpoint's own word.
-func (b *Backends) describe(id string, st *endpoint.Status) {
+// updateEndpoint stores what the endpoint reports about itself. The caller holds b.mu.
+func (b *Backends) updateEndpoint(id string, st *endpoint.Status) {
 	models := make([]routing.Model, 0, len(st.Models))
 	for _, m := range st.Models {
 		models = append(models, routing.Model{Name: m.Name, Version: m.Version, Adapters: m.Adapters})
 	}
 	if e, ok := b.view.Get(id); ok && st.Leaving && e.State != routing.Leaving {
-		b.opt.Log.WithField("endpoint", id).Info("endpoint leaves")
+		b.opt.Log.WithField("endpoint", id).Info("endpoint is leaving")
 	}
 	b.view.UpdateStatus(id, st.Slots, models, st.Role, st.Leaving)
 }
 
-// takeCacheEvents applies news of the prefix cache. A gap in the numbers means that some
-// were lost; entries that may be wrong expire by themselves, so a gap is only counted.
-func (b *Backends) takeCacheEvents(now time.Time, id string, w *watcher, events []endpoint.CacheEvent) {
+// applyCacheEvents applies the changes of the endpoint's prefix cache. A gap in the sequence
+// numbers means that events were lost. It is only counted, since entries that may be wrong expire
+// by themselves.
+func (b *Backends) applyCacheEvents(now time.Time, id string, w *watcher, events []endpoint.CacheEvent) {
 	for _, ev := range events {
-		if w.since > 0 && ev.Sequence > w.since+1 {
+		if w.lastCacheEvent > 0 && ev.Sequence > w.lastCacheEvent+1 {
 			b.opt.Scope.Counter("cache_event_gaps").Inc(1)
 		}
-		w.since = max(w.since, ev.Sequence)
+		w.lastCacheEvent = max(w.lastCacheEvent, ev.Sequence)
 		if ev.Evicted {
 			b.view.CacheEvicted(id, uint64(ev.Prefix))
 		} else {
@@ -117,9 +120,9 @@
 	}
 }
 
-// chooseSubset keeps for each service the n endpoints that rank highest for this instance
-// by rendezvous hash, so that connections and status reads do not grow with the fleet.
-// Each endpoint is then used by about the same number of instances.
+// chooseSubset returns, for each service, the n endpoints that rank highest for this instance by
+// rendezvous hash; n = 0 returns all. The number of connections and status reads therefore does
+// not grow with the fleet, and each endpoint is used by about the same number of instances.
 func chooseSubset(listed []platform.Listed, instance string, n int) []platform.Listed {
 	if n == 0 {
 		return listed
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -106,7 +106,7 @@
 	if !ok {
 		return 0, 0
 	}
-	return d.Backends.Nearby(e.ID, from, to)
+	return d.Backends.DataCentreFailures(e.ID, from, to)
 }
 
 // progressed clears the request of a generation that has run for a while, and ends its trial.
