--- a/gateway/config/config.go
+++ b/gateway/config/config.go
@@ -23,25 +23,26 @@
 	deployments map[string]*Deployment
 	teams       map[string]*Team
 	changed     chan struct{} // closed at the next change
-	spread      func([]revision.Record)
+	onChange    func([]revision.Record)
 }
 
-// New returns an empty configuration. spread is called with records that changed here,
-// so that they go on to the peers.
-func New(p platform.Client, log *logrus.Entry, scope tally.Scope, spread func([]revision.Record)) *Config {
+// New returns an empty configuration. onChange is called with the records of each change, outside
+// the lock, so that they can be sent on to the peers. It may be nil.
+func New(p platform.Client, log *logrus.Entry, scope tally.Scope, onChange func([]revision.Record)) *Config {
 	return &Config{
-		platform: p, log: log, scope: scope, store: revision.NewStore(), spread: spread,
+		platform: p, log: log, scope: scope, store: revision.NewStore(), onChange: onChange,
 		deployments: map[string]*Deployment{}, teams: map[string]*Team{}, changed: make(chan struct{}),
 	}
 }
 
-// Apply takes records from the platform or a peer, and returns those that were newer.
+// Apply applies records from the platform or a peer, and returns those that were newer than the
+// ones in force.
 func (c *Config) Apply(records []revision.Record) []revision.Record {
 	c.mu.Lock()
 	var fresh []revision.Record
 	for _, r := range records {
 		if c.store.Apply(r) {
-			c.parse(r)
+			c.decode(r)
 			fresh = append(fresh, r)
 		}
 	}
@@ -51,33 +52,33 @@
 		c.changed = make(chan struct{})
 	}
 	c.mu.Unlock()
-	c.announce(fresh)
+	c.reportChanges(fresh)
 	return fresh
 }
 
-func (c *Config) announce(fresh []revision.Record) {
+func (c *Config) reportChanges(fresh []revision.Record) {
 	if len(fresh) == 0 {
 		return
 	}
 	c.scope.Counter("configuration_changes").Inc(int64(len(fresh)))
-	const mostLines = 5
-	for _, r := range fresh[:min(len(fresh), mostLines)] {
+	const maxLogLines = 5
+	for _, r := range fresh[:min(len(fresh), maxLogLines)] {
 		c.log.WithFields(logrus.Fields{"kind": r.Kind, "name": r.Name, "version": r.Version, "deleted": r.Deleted}).Info("configuration in force")
 	}
-	if c.spread != nil {
-		c.spread(fresh)
+	if c.onChange != nil {
+		c.onChange(fresh)
 	}
 }
 
-// parse brings the typed copy up to date. An object that can't be read leaves the one
-// before it in force; that is counted.
-func (c *Config) parse(r revision.Record) {
+// decode updates the decoded form of an object. If the new version can't be decoded, the version
+// before it stays in force, and a counter records it. The caller holds c.mu.
+func (c *Config) decode(r revision.Record) {
 	switch r.Kind {
 	case KindDeployment:
 		var p operatorv1.Deployment
 		if r.Deleted {
 			delete(c.deployments, r.Name)
-		} else if _, err := unseal(r.Value, &p); err == nil {
+		} else if _, err := decodeObject(r.Value, &p); err == nil {
 			c.deployments[r.Name] = newDeployment(&p, r.Version)
 		} else {
 			c.scope.Counter("configuration_unreadable").Inc(1)
@@ -86,7 +87,7 @@
 		var p operatorv1.Team
 		if r.Deleted {
 			delete(c.teams, r.Name)
-		} else if _, err := unseal(r.Value, &p); err == nil {
+		} else if _, err := decodeObject(r.Value, &p); err == nil {
 			c.teams[r.Name] = newTeam(&p, r.Version)
 		} else {
 			c.scope.Counter("configuration_unreadable").Inc(1)
@@ -94,7 +95,7 @@
 	}
 }
 
-// Deployment returns a deployment in force.
+// Deployment returns a deployment in force, and whether there is one of this name.
 func (c *Config) Deployment(name string) (*Deployment, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -102,7 +103,7 @@
 	return d, ok
 }
 
-// Deployments returns all deployments in force.
+// Deployments returns all deployments in force, in no particular order.
 func (c *Config) Deployments() []*Deployment {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -113,7 +114,7 @@
 	return out
 }
 
-// Team returns a team in force.
+// Team returns a team in force, and whether there is one of this name.
 func (c *Config) Team(name string) (*Team, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -121,21 +122,23 @@
 	return t, ok
 }
 
-// Digest returns one number for all versions in force.
+// Digest returns a digest over the versions of all objects in force. It is 0 as long as there is
+// no configuration.
 func (c *Config) Digest() uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.digest
 }
 
-// Buckets returns the digests by which a peer finds what differs.
+// Buckets returns digests over parts of the objects. A peer compares them with its own to find the
+// objects that differ.
 func (c *Config) Buckets() []uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.store.Buckets()
 }
 
-// Differing returns the records that differ from a peer's buckets.
+// Differing returns the records in the buckets whose digests differ from those of a peer.
 func (c *Config) Differing(buckets []uint64) []revision.Record {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -164,6 +167,6 @@
 func recordOf(o platform.Object) revision.Record {
 	return revision.Record{
 		ID: revision.ID{Kind: o.Kind, Name: o.Name}, Version: o.Version, Value: o.Value,
-		Deleted: o.Deleted || openEnvelope(o.Value).Deleted,
+		Deleted: o.Deleted || decodeEnvelope(o.Value).Deleted,
 	}
 }
--- a/gateway/config/model.go
+++ b/gateway/config/model.go
@@ -1,13 +1,14 @@
-// Package config keeps the configuration in force at this instance: deployments and
-// teams, from the platform and from peers, never going back to an older version.
+// Package config holds the configuration in force at this instance: deployments and teams. It
+// comes from the platform and from peers. No object ever goes back to an older version.
 //
-// Operators' changes are validated whole, written by conditional update, and accepted
-// only when the platform has them. An operation id inside each object lets a lost answer
-// be resolved by reading the object again.
+// A change by an operator is validated as a whole, written by a conditional update, and accepted
+// only after the platform has stored it. Each object contains an operation id. If the answer to a
+// write is lost, reading the object again shows whether the write took effect.
 //
-// Failure modes: the platform is down (changes are refused as unavailable; the versions
-// in force stay, and follow the peers); a write's answer is lost (resolved by reading);
-// racing operators (one wins, the others get [ErrConflict] with the version in force).
+// Failure modes: if the platform is down, changes are refused as unavailable; the versions in
+// force stay, and newer ones still come from peers. If the answer to a write is lost, the outcome
+// is found by reading. If operators change an object at the same time, one change wins and the
+// others get [ErrConflict] with the version in force.
 package config
 
 import (
@@ -27,22 +28,23 @@
 const (
 	KindDeployment = "deployment"
 	KindTeam       = "team"
-	// KindModel holds the weight store's catalogue: a name for each model that exists.
+	// KindModel is the catalogue of the weight store: it has one object for each model and adapter
+	// that exists.
 	KindModel = "model"
 )
 
-// envelope is how an object is stored.
+// envelope is the stored form of an object.
 type envelope struct {
-	// Operation is the id of the change that made this version.
+	// Operation is the id of the change that made this version. It may be empty.
 	Operation string `json:"operation,omitempty"`
-	// Deleted marks the object as deleted. A deletion is written like any change, so
-	// that it has a version and an operation id.
+	// Deleted marks the object as deleted. A deletion is written like any other change, so that it
+	// has a version and an operation id.
 	Deleted bool            `json:"deleted,omitempty"`
 	Body    json.RawMessage `json:"body,omitempty"`
 }
 
-// seal encodes an object for the platform; a nil message is a deletion.
-func seal(operation string, m proto.Message) ([]byte, error) {
+// encodeEnvelope encodes an object for the platform; a nil message is a deletion.
+func encodeEnvelope(operation string, m proto.Message) ([]byte, error) {
 	e := envelope{Operation: operation, Deleted: m == nil}
 	if m != nil {
 		body, err := protojson.Marshal(m)
@@ -58,13 +60,13 @@
 	return raw, nil
 }
 
-func openEnvelope(raw []byte) envelope {
+func decodeEnvelope(raw []byte) envelope {
 	var e envelope
-	_ = json.Unmarshal(raw, &e) // what can't be read has no operation id
+	_ = json.Unmarshal(raw, &e) // an envelope that can't be decoded has no operation id
 	return e
 }
 
-func unseal(raw []byte, m proto.Message) (operation string, err error) {
+func decodeObject(raw []byte, m proto.Message) (operation string, err error) {
 	var e envelope
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return "", ErrInvalid.Wrap(err, "stored object")
@@ -75,14 +77,14 @@
 	return e.Operation, nil
 }
 
-// Deployment is a deployment in the form that the pipeline uses.
+// Deployment is a deployment in the form that the request pipeline uses.
 type Deployment struct {
 	Name    string
 	Version uint64
 	Plain   bool
 	Service string
 	Model   string
-	// ModelVersion is empty for any.
+	// ModelVersion is the required version of the model; empty allows any.
 	ModelVersion string
 	adapters     map[string]bool
 	teams        map[string]bool
@@ -92,20 +94,21 @@
 	QueueWait    time.Duration
 	idempotent   map[string]bool
 	Replicas     int
-	// Role that engines take along; empty leaves it.
+	// Role is the role that engines take on with the order to load; empty leaves it unchanged.
 	Role string
-	// IgnoresFencing tells that not all engines check fencing numbers.
+	// IgnoresFencing reports that not all engines of the deployment check fencing numbers.
 	IgnoresFencing bool
 	Recovery       *operatorv1.Recovery
 }
 
-// Serves tells whether a team may use the deployment.
+// Serves reports whether a team may use the deployment.
 func (d *Deployment) Serves(team string) bool { return d.teams[team] }
 
-// HasAdapter tells whether the deployment offers an adapter.
+// HasAdapter reports whether the deployment offers an adapter. The empty adapter, which stands for
+// none, is always offered.
 func (d *Deployment) HasAdapter(adapter string) bool { return adapter == "" || d.adapters[adapter] }
 
-// Adapters returns the adapters offered.
+// Adapters returns the adapters that the deployment offers, in no particular order.
 func (d *Deployment) Adapters() []string {
 	out := make([]string, 0, len(d.adapters))
 	for a := range d.adapters {
@@ -114,12 +117,14 @@
 	return out
 }
 
-// Idempotent tells whether calls with an HTTP method may run twice without harm.
+// Idempotent reports whether calls with an HTTP method may run twice without harm. GET and HEAD
+// always may.
 func (d *Deployment) Idempotent(method string) bool {
 	return method == "GET" || method == "HEAD" || d.idempotent[method]
 }
 
-// RecoveryConfig returns the deployment's recovery settings over the defaults.
+// RecoveryConfig returns c with the values that the deployment sets itself; a zero value in the
+// deployment keeps the one of c.
 func (d *Deployment) RecoveryConfig(c generation.Config) generation.Config {
 	r := d.Recovery
 	if p := r.GetPolicy(); p != "" {
@@ -137,7 +142,7 @@
 	return c
 }
 
-// Defaults of a contract, where a deployment names none.
+// Defaults for the values that a deployment's contract leaves out.
 const (
 	defaultDeadline  = time.Minute
 	defaultQueueWait = 2 * time.Second
@@ -151,9 +156,9 @@
 	d := &Deployment{
 		Name: p.GetName(), Version: version, Plain: p.GetKind() == operatorv1.Kind_KIND_PLAIN,
 		Service: p.GetService(), Model: p.GetModel(), ModelVersion: p.GetVersion(),
-		adapters: set(p.GetAdapters()), teams: set(p.GetTeams()),
+		adapters: newSet(p.GetAdapters()), teams: newSet(p.GetTeams()),
 		Class: classByName[p.GetContract().GetClass()], Deadline: defaultDeadline, QueueWait: defaultQueueWait,
-		idempotent: set(p.GetContract().GetIdempotentMethods()), Replicas: int(p.GetReplicas()), Role: p.GetRole(),
+		idempotent: newSet(p.GetContract().GetIdempotentMethods()), Replicas: int(p.GetReplicas()), Role: p.GetRole(),
 		IgnoresFencing: p.GetEnginesIgnoreFencing(), Recovery: p.GetRecovery(), Weights: weights(p.GetRouting()),
 	}
 	if ms := p.GetContract().GetDeadlineMs(); ms > 0 {
@@ -179,7 +184,7 @@
 	return w
 }
 
-// Team is a team in the form that the pipeline uses.
+// Team is a team in the form that the request pipeline uses.
 type Team struct {
 	Name      string
 	Version   uint64
@@ -187,7 +192,7 @@
 	Quota     limits.Quota
 }
 
-func set(items []string) map[string]bool {
+func newSet(items []string) map[string]bool {
 	out := make(map[string]bool, len(items))
 	for _, i := range items {
 		out[i] = true
--- a/gateway/config/validate.go
+++ b/gateway/config/validate.go
@@ -13,32 +13,34 @@
 	"github.com/agateway/agateway/core/limits"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	namespace = errorx.NewNamespace("config")
-	// ErrInvalid: the change is wrong; the field is given.
+	// ErrInvalid means that the change is invalid; [Field] returns the field at fault.
 	ErrInvalid = namespace.NewType("invalid")
-	// ErrConflict: the object has another version than the change was made from.
+	// ErrConflict means that the object has another version than the change was made from;
+	// [CurrentVersion] returns it.
 	ErrConflict = namespace.NewType("conflict")
-	// ErrNotFound: there is no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = namespace.NewType("not_found", errorx.NotFound())
-	// ErrUnavailable: the platform can't be reached; the change was not made.
+	// ErrUnavailable means that the platform can't be reached and the change was not made.
 	ErrUnavailable = namespace.NewType("unavailable", errorx.Temporary())
-	// ErrUncertain: the change may have been made; the same operation id may be sent again.
+	// ErrUncertain means that the change may have been made. It can be sent again with the same
+	// operation id.
 	ErrUncertain = namespace.NewType("uncertain", errorx.Temporary())
 
 	fieldProperty   = errorx.RegisterProperty("field")
 	versionProperty = errorx.RegisterProperty("version")
 )
 
-// Field returns the field that an error names.
+// Field returns the field that an error names; empty for none.
 func Field(err error) string {
 	f, _ := errorx.ExtractProperty(err, fieldProperty)
 	text, _ := f.(string)
 	return text
 }
 
-// CurrentVersion returns the version in force that a conflict names.
+// CurrentVersion returns the version in force that a conflict names; 0 for none.
 func CurrentVersion(err error) uint64 {
 	v, _ := errorx.ExtractProperty(err, versionProperty)
 	n, _ := v.(uint64)
@@ -53,13 +55,13 @@
 	return ErrConflict.New("the object has version %d now", version).WithProperty(versionProperty, version)
 }
 
-// namePattern is compiled at the first use: an instance that forwards never needs it, and each millisecond of its start
-// costs callers who come back to it.
+// namePattern is compiled at the first use. An instance that forwards never needs it, and callers
+// of a restarted instance wait for each millisecond of its start.
 var namePattern = sync.OnceValue(func() *regexp.Regexp {
 	return regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,61}[a-z0-9])?$`)
 })
 
-func validName(field, name string) error {
+func validateName(field, name string) error {
 	if !namePattern().MatchString(name) {
 		return invalid(field, "%q is no name (1 to 63 of a-z, 0-9, dot, dash, underscore; letters or digits at the ends)", name)
 	}
@@ -67,19 +69,20 @@
 }
 
 const (
-	mostDeadlineMS = 3_600_000
-	mostWeight     = 1000
-	mostSilence    = 100
-	mostReplicas   = 10_000
+	maxDeadlineMS    = 3_600_000
+	maxWeight        = 1000
+	maxSilenceFactor = 100
+	maxReplicas      = 10_000
 )
 
-// catalogue tells which teams and models exist.
+// catalogue reports which teams and models exist.
 type catalogue struct {
 	team  func(string) bool
-	model func(string) bool // nil when the platform has no catalogue of models
+	model func(string) bool // nil if the platform has no catalogue of models
 }
 
-// validateDeployment checks a deployment whole, against what else is in force.
+// validateDeployment checks all fields of a deployment, and that the teams and models that it
+// names exist.
 func validateDeployment(d *operatorv1.Deployment, c catalogue) error {
 	if d == nil {
 		return invalid("deployment", "is required")
@@ -96,13 +99,13 @@
 }
 
 func validateIdentity(d *operatorv1.Deployment, _ catalogue) error {
-	if err := validName("deployment.name", d.GetName()); err != nil {
+	if err := validateName("deployment.name", d.GetName()); err != nil {
 		return err
 	}
 	if k := d.GetKind(); k != operatorv1.Kind_KIND_GENERATION && k != operatorv1.Kind_KIND_PLAIN {
 		return invalid("deployment.kind", "has to be generation or plain")
 	}
-	return validName("deployment.service", d.GetService())
+	return validateName("deployment.service", d.GetService())
 }
 
 func validateModel(d *operatorv1.Deployment, c catalogue) error {
@@ -112,7 +115,7 @@
 		}
 		return nil
 	}
-	if err := validName("deployment.model", d.GetModel()); err != nil {
+	if err := validateName("deployment.model", d.GetModel()); err != nil {
 		return err
 	}
 	if c.model != nil && !c.model(d.GetModel()) {
@@ -120,7 +123,7 @@
 	}
 	for i, a := range d.GetAdapters() {
 		field := fmt.Sprintf("deployment.adapters[%d]", i)
-		if err := validName(field, a); err != nil {
+		if err := validateName(field, a); err != nil {
 			return err
 		}
 		if c.model != nil && !c.model(d.GetModel()+"."+a) {
@@ -128,22 +131,22 @@
 		}
 	}
 	if v := d.GetVersion(); v != "" {
-		if err := validName("deployment.version", v); err != nil {
+		if err := validateName("deployment.version", v); err != nil {
 			return err
 		}
 	} else if d.GetReplicas() > 0 {
 		return invalid("deployment.version", "is required where replicas are asked for: an order to load names one")
 	}
 	if r := d.GetRole(); r != "" {
-		if err := validName("deployment.role", r); err != nil {
+		if err := validateName("deployment.role", r); err != nil {
 			return err
 		}
 		if d.GetReplicas() == 0 {
 			return invalid("deployment.role", "needs replicas: it is given along with the order to load")
 		}
 	}
-	if d.GetReplicas() > mostReplicas {
-		return invalid("deployment.replicas", "at most %d", mostReplicas)
+	if d.GetReplicas() > maxReplicas {
+		return invalid("deployment.replicas", "at most %d", maxReplicas)
 	}
 	return nil
 }
@@ -173,8 +176,8 @@
 		value float64
 	}{{"load_weight", r.GetLoadWeight()}, {"cache_weight", r.GetCacheWeight()}, {"remote_weight", r.GetRemoteWeight()}}
 	for _, w := range weights {
-		if !(w.value >= 0 && w.value <= mostWeight) {
-			return invalid("deployment.routing."+w.field, "must be between 0 and %d", mostWeight)
+		if !(w.value >= 0 && w.value <= maxWeight) {
+			return invalid("deployment.routing."+w.field, "must be between 0 and %d", maxWeight)
 		}
 	}
 	return nil
@@ -187,8 +190,8 @@
 	default:
 		return invalid("deployment.recovery.policy", "%q is none of latency, frugal (or the baselines restart, no-probe)", r.GetPolicy())
 	}
-	if f := r.GetSilenceFactor(); f != 0 && !(f >= 1 && f <= mostSilence) {
-		return invalid("deployment.recovery.silence_factor", "must be between 1 and %d, or 0 for the default", mostSilence)
+	if f := r.GetSilenceFactor(); f != 0 && !(f >= 1 && f <= maxSilenceFactor) {
+		return invalid("deployment.recovery.silence_factor", "must be between 1 and %d, or 0 for the default", maxSilenceFactor)
 	}
 	return nil
 }
@@ -198,8 +201,8 @@
 	if _, ok := classByName[c.GetClass()]; !ok {
 		return invalid("deployment.contract.class", "%q is none of urgent, long, background", c.GetClass())
 	}
-	if c.GetDeadlineMs() > mostDeadlineMS {
-		return invalid("deployment.contract.deadline_ms", "at most %d", mostDeadlineMS)
+	if c.GetDeadlineMs() > maxDeadlineMS {
+		return invalid("deployment.contract.deadline_ms", "at most %d", maxDeadlineMS)
 	}
 	if c.GetDeadlineMs() > 0 && c.GetQueueMs() >= c.GetDeadlineMs() {
 		return invalid("deployment.contract.queue_ms", "has to be less than deadline_ms (%d)", c.GetDeadlineMs())
@@ -211,7 +214,7 @@
 	if t == nil {
 		return invalid("team", "is required")
 	}
-	if err := validName("team.name", t.GetName()); err != nil {
+	if err := validateName("team.name", t.GetName()); err != nil {
 		return err
 	}
 	for i, h := range t.GetKeySha256() {
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -293,7 +293,7 @@
 	if err := d.Config.Load(ctx); err != nil {
 		d.telemetry.Log.WithError(err).Warn("failed to load the configuration from the platform; waiting for the platform or a peer")
 	}
-	d.Config.Follow(ctx, config.Sync{Wait: d.settings.Platform.Watch, Pause: watchRetryPause, Watches: d.isPlatformReader})
+	d.Config.Follow(ctx, config.FollowOptions{WatchTimeout: d.settings.Platform.Watch, RetryPause: watchRetryPause, Watches: d.isPlatformReader})
 }
 
 // isPlatformReader reports whether this instance is one of those of its data centre that read the
