--- a/gateway/operator/operator.go
+++ b/gateway/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' connect-go interface and turns the errors of
-// package config into connect codes with an [operatorv1.ErrorDetail].
+// Package operator implements the operators' connect-go API. It turns the errors of package config
+// into connect codes with an [operatorv1.ErrorDetail].
 package operator
 
 import (
@@ -26,14 +26,15 @@
 	Config   *config.Config
 	Fleet    *fleet.Fleet
 	Backends *backends.Backends
-	// PlatformReachable tells whether the platform answered lately.
+	// PlatformReachable reports whether the platform answered recently.
 	PlatformReachable func() bool
-	// Closing ends watches when the instance shuts down.
+	// Closing is closed when the instance shuts down, which ends the watches.
 	Closing <-chan struct{}
 }
 
-// Authorize returns a handler that lets only the holder of the operators' key through;
-// keySHA256 is its hash in hexadecimal.
+// Authorize returns a handler that passes only requests with the operators' key on to next.
+// keySHA256 is the hash of the key in hexadecimal; if it can't be decoded, all requests are
+// rejected.
 func Authorize(keySHA256 string, next http.Handler) http.Handler {
 	want, err := hex.DecodeString(keySHA256)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -47,10 +48,10 @@
 	})
 }
 
-var codeOf = []struct {
-	below *errorx.Type
-	code  connect.Code
-	name  string
+var errorCodes = []struct {
+	errorType *errorx.Type
+	code      connect.Code
+	name      string
 }{
 	{config.ErrInvalid, connect.CodeInvalidArgument, "invalid"},
 	{config.ErrConflict, connect.CodeAborted, "conflict"},
@@ -59,9 +60,9 @@
 	{config.ErrUncertain, connect.CodeUnknown, "uncertain"},
 }
 
-func fail(err error) error {
-	for _, c := range codeOf {
-		if !errorx.IsOfType(err, c.below) {
+func connectError(err error) error {
+	for _, c := range errorCodes {
+		if !errorx.IsOfType(err, c.errorType) {
 			continue
 		}
 		out := connect.NewError(c.code, fmt.Errorf("%s", errorx.Cast(err).Message()))
@@ -78,32 +79,32 @@
 func (s *Service) CreateDeployment(ctx context.Context, r *connect.Request[operatorv1.CreateDeploymentRequest]) (*connect.Response[operatorv1.CreateDeploymentResponse], error) {
 	version, err := s.Config.PutDeployment(ctx, r.Msg.Deployment, 0, r.Msg.OperationId)
 	if err != nil {
-		return nil, fail(err)
+		return nil, connectError(err)
 	}
-	return connect.NewResponse(&operatorv1.CreateDeploymentResponse{Stored: stored(r.Msg.Deployment, version)}), nil
+	return connect.NewResponse(&operatorv1.CreateDeploymentResponse{Stored: storedDeployment(r.Msg.Deployment, version)}), nil
 }
 
-// UpdateDeployment updates a deployment from the version given.
+// UpdateDeployment updates a deployment if its version is the expected one.
 func (s *Service) UpdateDeployment(ctx context.Context, r *connect.Request[operatorv1.UpdateDeploymentRequest]) (*connect.Response[operatorv1.UpdateDeploymentResponse], error) {
 	if r.Msg.ExpectedVersion == 0 {
 		return nil, connect.NewError(connect.CodeInvalidArgument, fmt.Errorf("expected_version: is required"))
 	}
 	version, err := s.Config.PutDeployment(ctx, r.Msg.Deployment, r.Msg.ExpectedVersion, r.Msg.OperationId)
 	if err != nil {
-		return nil, fail(err)
+		return nil, connectError(err)
 	}
-	return connect.NewResponse(&operatorv1.UpdateDeploymentResponse{Stored: stored(r.Msg.Deployment, version)}), nil
+	return connect.NewResponse(&operatorv1.UpdateDeploymentResponse{Stored: storedDeployment(r.Msg.Deployment, version)}), nil
 }
 
-func stored(d *operatorv1.Deployment, version uint64) *operatorv1.StoredDeployment {
+func storedDeployment(d *operatorv1.Deployment, version uint64) *operatorv1.StoredDeployment {
 	return &operatorv1.StoredDeployment{Deployment: d, Version: version}
 }
 
-// DeleteDeployment deletes a deployment.
+// DeleteDeployment deletes a deployment if its version is the expected one.
 func (s *Service) DeleteDeployment(ctx context.Context, r *connect.Request[operatorv1.DeleteDeploymentRequest]) (*connect.Response[operatorv1.DeleteDeploymentResponse], error) {
 	version, err := s.Config.Delete(ctx, config.KindDeployment, r.Msg.Name, r.Msg.ExpectedVersion, r.Msg.OperationId)
 	if err != nil {
-		return nil, fail(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&operatorv1.DeleteDeploymentResponse{Version: version}), nil
 }
@@ -112,7 +113,7 @@
 func (s *Service) GetDeployment(_ context.Context, r *connect.Request[operatorv1.GetDeploymentRequest]) (*connect.Response[operatorv1.GetDeploymentResponse], error) {
 	d, err := s.Config.StoredDeployment(r.Msg.Name)
 	if err != nil {
-		return nil, fail(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&operatorv1.GetDeploymentResponse{Stored: d}), nil
 }
@@ -122,7 +123,8 @@
 	return connect.NewResponse(&operatorv1.ListDeploymentsResponse{Stored: s.Config.StoredDeployments()}), nil
 }
 
-// WatchDeployments sends all deployments, and then each change.
+// WatchDeployments sends all deployments, and then each change, until the caller or the instance
+// ends it.
 func (s *Service) WatchDeployments(ctx context.Context, _ *connect.Request[operatorv1.WatchDeploymentsRequest], stream *connect.ServerStream[operatorv1.WatchDeploymentsResponse]) error {
 	seen := map[string]uint64{}
 	for {
@@ -170,16 +172,16 @@
 func (s *Service) PutTeam(ctx context.Context, r *connect.Request[operatorv1.PutTeamRequest]) (*connect.Response[operatorv1.PutTeamResponse], error) {
 	version, err := s.Config.PutTeam(ctx, r.Msg.Team, r.Msg.ExpectedVersion, r.Msg.OperationId)
 	if err != nil {
-		return nil, fail(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&operatorv1.PutTeamResponse{Stored: &operatorv1.StoredTeam{Team: r.Msg.Team, Version: version}}), nil
 }
 
-// DeleteTeam deletes a team that no deployment names.
+// DeleteTeam deletes a team that no deployment names, if its version is the expected one.
 func (s *Service) DeleteTeam(ctx context.Context, r *connect.Request[operatorv1.DeleteTeamRequest]) (*connect.Response[operatorv1.DeleteTeamResponse], error) {
 	version, err := s.Config.Delete(ctx, config.KindTeam, r.Msg.Name, r.Msg.ExpectedVersion, r.Msg.OperationId)
 	if err != nil {
-		return nil, fail(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&operatorv1.DeleteTeamResponse{Version: version}), nil
 }
@@ -189,9 +191,9 @@
 	return connect.NewResponse(&operatorv1.ListTeamsResponse{Stored: s.Config.StoredTeams()}), nil
 }
 
-// GetFleetStatus returns what this instance knows of the fleet.
+// GetFleetStatus returns the state of instances and endpoints as this instance knows it.
 func (s *Service) GetFleetStatus(context.Context, *connect.Request[operatorv1.GetFleetStatusRequest]) (*connect.Response[operatorv1.GetFleetStatusResponse], error) {
-	out := &operatorv1.GetFleetStatusResponse{ConfigurationDigest: digest(s.Config.Digest()), PlatformReachable: s.PlatformReachable()}
+	out := &operatorv1.GetFleetStatusResponse{ConfigurationDigest: formatDigest(s.Config.Digest()), PlatformReachable: s.PlatformReachable()}
 	for _, m := range s.Fleet.Members() {
 		state := m.State.String()
 		if m.Leaving && state == "alive" {
@@ -199,7 +201,7 @@
 		}
 		out.Instances = append(out.Instances, &operatorv1.InstanceStatus{
 			Id: m.ID, Address: m.Address, DataCentre: m.DataCentre, State: state, Incarnation: m.Incarnation,
-			OpenRequests: m.OpenRequests, ConfigurationDigest: digest(m.ConfigDigest),
+			OpenRequests: m.OpenRequests, ConfigurationDigest: formatDigest(m.ConfigDigest),
 		})
 	}
 	for _, e := range s.Backends.List() {
@@ -208,7 +210,7 @@
 	return connect.NewResponse(out), nil
 }
 
-func digest(d uint64) string { return fmt.Sprintf("%016x", d) }
+func formatDigest(d uint64) string { return fmt.Sprintf("%016x", d) }
 
 func endpointStatus(e *routing.Status) *operatorv1.EndpointStatus {
 	state := "live"
