--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -111,7 +111,7 @@
 	d.platform = platform.NewObjects(s.Platform.URL, s.Platform.Timeout, d.network)
 	d.Pool = peers.NewPool(s.Keys.Peer, s.Peers.Timeout, d.network)
 	client := endpoint.NewClient(s.Endpoints.ConnectTimeout, d.network)
-	d.Config = config.New(d.platform, t.Log, t.Scope, func(r []revision.Record) { d.peering.Spread(r) })
+	d.Config = config.New(d.platform, t.Log, t.Scope, func(r []revision.Record) { d.peering.PushRecords(r) })
 	d.buildFleet()
 	routingSettings := routing.DefaultSettings()
 	routingSettings.QueueFactor = s.Endpoints.QueueFactor
@@ -140,7 +140,7 @@
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: d.platform.Store(),
 		Discovered: func() <-chan struct{} { return discovered },
 		Instances:  func() (int, int) { n := len(d.Fleet.Others()) + 1; return n, n },
-		Broadcast:  func(facts []crashers.Fact, complete bool) { d.peering.SpreadCrashes(facts, complete) },
+		Broadcast:  func(facts []crashers.Fact, complete bool) { d.peering.BroadcastCrashes(facts, complete) },
 		OnStopped:  func(crashers.Request) {}, Log: t.Log, Scope: t.Scope,
 	})
 	d.Pipeline = pipeline.New(&pipeline.Deps{
@@ -150,7 +150,7 @@
 	})
 	d.peering = &peering.Service{
 		Config: d.Config, Fleet: d.Fleet, Running: d.running, Tickets: d.Tickets, Pool: d.Pool,
-		Timeout: s.Peers.Timeout, Scope: t.Scope, Lists: d.newLists(), Crashes: d.crashes,
+		Timeout: s.Peers.Timeout, Scope: t.Scope, Instances: d.newLists(), Crashes: d.crashes,
 	}
 }
 
@@ -165,7 +165,7 @@
 		},
 		Settings: membershipSettings, Timeout: s.Peers.Timeout, Seeds: s.Peers.Seeds, Pool: d.Pool, Log: t.Log, Scope: t.Scope,
 		Figures: d.stats,
-		Behind:  func(m membership.Member) { d.peering.Pull(m) },
+		Behind:  func(m membership.Member) { d.peering.PullRecords(m) },
 	})
 }
 
@@ -173,10 +173,10 @@
 	return fleet.Figures{Open: uint32(d.Pipeline.Open()), Configuration: d.Config.Digest(), Usage: d.Pipeline.Usage()}
 }
 
-func (d *Daemon) newLists() *peering.Lists {
-	return &peering.Lists{
-		Platform: d.platform, Pool: d.Pool, Timeout: d.settings.Peers.Timeout, Every: d.settings.Platform.List,
-		Readers: d.platformReaders, Take: d.applyList,
+func (d *Daemon) newLists() *peering.InstanceList {
+	return &peering.InstanceList{
+		Platform: d.platform, Pool: d.Pool, Timeout: d.settings.Peers.Timeout, Interval: d.settings.Platform.List,
+		Readers: d.platformReaders, OnChange: d.applyList,
 	}
 }
 
@@ -269,7 +269,7 @@
 	sweeper := &once.Sweeper{
 		Platform: d.platform, Holds: d.Orders.Holds, TTL: d.settings.Tickets.ClaimTTL, Every: sweepInterval, PerSecond: sweptPerSecond, Scope: d.telemetry.Scope,
 	}
-	loops := []func(context.Context){d.updateSubsets, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Lists.Run, d.followConfig, d.crashes.Run, d.peering.AskCrashes}
+	loops := []func(context.Context){d.updateSubsets, sweeper.Run, d.Orders.Run, d.Fleet.Run, d.running.Run, d.peering.Instances.Run, d.followConfig, d.crashes.Run, d.peering.PollCrashes}
 	if d.settings.Instance.Register {
 		loops = append(loops, d.register)
 	}
--- a/gateway/peering/lists.go
+++ b/gateway/peering/instance_list.go
@@ -15,36 +15,37 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// Lists keeps the platform's list of instances. Only some instances of a data centre read
-// the platform; the others ask those, and read it themselves when none of them answers.
-type Lists struct {
+// InstanceList keeps a copy of the platform's list of instances and endpoints. Only some instances
+// of a data centre read the platform. The others get the list from those, and read the platform
+// themselves if none of the readers answers.
+type InstanceList struct {
 	Platform platform.Client
 	Pool     *peers.Pool
 	Timeout  time.Duration
-	Every    time.Duration
-	// Readers returns the instances of this data centre that read the platform, without
-	// this one, and whether this one does.
+	Interval time.Duration
+	// Readers returns the other instances of this data centre that read the platform, and whether
+	// this instance does.
 	Readers func() ([]membership.Member, bool)
-	// Take is called with each new list.
-	Take func(context.Context, []platform.Listed)
+	// OnChange is called with each list that differs from the one before.
+	OnChange func(context.Context, []platform.Listed)
 
-	mu     sync.Mutex
-	listed []*peerv1.Listed
-	digest uint64
-	readAt time.Time // when it was read from the platform
-	reads  bool
+	mu       sync.Mutex
+	listed   []*peerv1.Listed
+	digest   uint64
+	readAt   time.Time // when the list was read from the platform; zero if never
+	isReader bool
 }
 
-// Run keeps the list up to date until ctx ends.
-func (l *Lists) Run(ctx context.Context) {
+// Run refreshes the list at each interval until ctx ends.
+func (l *InstanceList) Run(ctx context.Context) {
 	l.refresh(ctx)
-	pause.Every(ctx, l.Every, func() { l.refresh(ctx) })
+	pause.Every(ctx, l.Interval, func() { l.refresh(ctx) })
 }
 
-func (l *Lists) refresh(ctx context.Context) {
+func (l *InstanceList) refresh(ctx context.Context) {
 	readers, self := l.Readers()
 	l.mu.Lock()
-	l.reads = self
+	l.isReader = self
 	l.mu.Unlock()
 	if !self && l.askPeers(ctx, readers) {
 		return
@@ -53,30 +54,31 @@
 	if err != nil {
 		return // the last list stays in use
 	}
-	l.set(ctx, encodeListed(listed), time.Now())
+	l.update(ctx, encodeListed(listed), time.Now())
 }
 
-func (l *Lists) askPeers(ctx context.Context, readers []membership.Member) bool {
+func (l *InstanceList) askPeers(ctx context.Context, readers []membership.Member) bool {
 	for _, m := range readers {
 		l.mu.Lock()
 		req := &peerv1.ListInstancesRequest{Digest: l.digest}
 		l.mu.Unlock()
 		resp, err := peers.Call(ctx, l.Pool, m.PeerAddress, l.Timeout, listMethod, req)
-		if err != nil || !resp.Reads || time.Duration(resp.AgeMs)*time.Millisecond > staleAfter*l.Every {
+		if err != nil || !resp.Reads || time.Duration(resp.AgeMs)*time.Millisecond > maxAgeIntervals*l.Interval {
 			continue
 		}
 		if !resp.Unchanged {
-			l.set(ctx, resp.Listed, time.Now().Add(-time.Duration(resp.AgeMs)*time.Millisecond))
+			l.update(ctx, resp.Listed, time.Now().Add(-time.Duration(resp.AgeMs)*time.Millisecond))
 		}
 		return true
 	}
 	return false
 }
 
-// staleAfter times the interval is the age from which another's list is not good enough.
-const staleAfter = 10
+// maxAgeIntervals is the number of intervals after which another instance's list is too old to be
+// used.
+const maxAgeIntervals = 10
 
-func (l *Lists) set(ctx context.Context, listed []*peerv1.Listed, readAt time.Time) {
+func (l *InstanceList) update(ctx context.Context, listed []*peerv1.Listed, readAt time.Time) {
 	digest := digestOf(listed)
 	l.mu.Lock()
 	l.readAt = readAt
@@ -84,7 +86,7 @@
 	l.listed, l.digest = listed, digest
 	l.mu.Unlock()
 	if changed {
-		l.Take(ctx, decodeListed(listed))
+		l.OnChange(ctx, decodeListed(listed))
 	}
 }
 
@@ -100,10 +102,10 @@
 	return d.Sum64()
 }
 
-func (l *Lists) answer(req *peerv1.ListInstancesRequest) *peerv1.ListInstancesResponse {
+func (l *InstanceList) handleList(req *peerv1.ListInstancesRequest) *peerv1.ListInstancesResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	resp := &peerv1.ListInstancesResponse{AgeMs: uint32(time.Since(l.readAt).Milliseconds()), Reads: l.reads && !l.readAt.IsZero()}
+	resp := &peerv1.ListInstancesResponse{AgeMs: uint32(time.Since(l.readAt).Milliseconds()), Reads: l.isReader && !l.readAt.IsZero()}
 	if req.Digest == l.digest {
 		resp.Unchanged = true
 	} else {
--- a/gateway/peering/peering.go
+++ b/gateway/peering/peering.go
@@ -1,4 +1,9 @@
-// Package peering answers the other instances' calls and spreads configuration to them.
+// Package peering answers the calls of other instances. It also sends them configuration records
+// and facts about requests that crash endpoints, and shares the platform's list of instances.
+//
+// Failure modes: if a push of records fails, the peer notices at a later heartbeat that its
+// configuration differs, and pulls the records. If a broadcast of facts fails, the peer learns of
+// stopped requests by polling.
 package peering
 
 import (
@@ -25,30 +30,31 @@
 
 // Service implements peerv1connect.PeerServiceHandler.
 type Service struct {
-	peerv1connect.UnimplementedPeerServiceHandler // WatchStore is served by instances that forward
-
-	Config  *config.Config
-	Fleet   *fleet.Fleet
-	Running *running.Running
-	Tickets *once.Tickets
-	Lists   *Lists
-	Crashes *crashes.Registry
-	Pool    *peers.Pool
-	Timeout time.Duration
-	Scope   tally.Scope
+	peerv1connect.UnimplementedPeerServiceHandler // WatchStore is served only by instances that forward
+
+	Config    *config.Config
+	Fleet     *fleet.Fleet
+	Running   *running.Running
+	Tickets   *once.Tickets
+	Instances *InstanceList
+	Crashes   *crashes.Registry
+	Pool      *peers.Pool
+	Timeout   time.Duration
+	Scope     tally.Scope
 
 	mu      sync.Mutex
-	pulling map[string]bool // peers that a pull is under way from
+	pulling map[string]bool // addresses of the peers that are being pulled from
 }
 
-// fanout is how many peers a fresh record is sent to at once; each sends it on.
-const fanout = 4
+// pushFanout is the number of peers that a new record is sent to at once. Each of them sends it
+// on.
+const pushFanout = 4
 
-// Spread sends fresh records to some peers. Those who knew them already do not send them
-// on, so that news reaches all in a few rounds and then dies out.
-func (s *Service) Spread(records []revision.Record) {
+// PushRecords sends new records to a random sample of peers. A peer that already had them does not
+// send them on. So new records reach all instances in a few rounds, and the pushes then stop.
+func (s *Service) PushRecords(records []revision.Record) {
 	req := &peerv1.PushConfigurationRequest{From: s.Fleet.Self().ID, Records: encodeRecords(records)}
-	for _, m := range s.Fleet.Sample(fanout) {
+	for _, m := range s.Fleet.Sample(pushFanout) {
 		go func() {
 			if _, err := peers.Call(context.Background(), s.Pool, m.PeerAddress, s.Timeout, pushMethod, req); err != nil {
 				s.Scope.Counter("configuration_pushes_failed").Inc(1)
@@ -57,8 +63,9 @@
 	}
 }
 
-// Pull fetches what a peer has and this instance has not. One pull runs per peer.
-func (s *Service) Pull(m membership.Member) {
+// PullRecords fetches in the background the records that differ between a peer and this instance.
+// At most one pull per peer runs at a time.
+func (s *Service) PullRecords(m membership.Member) {
 	s.mu.Lock()
 	if s.pulling == nil {
 		s.pulling = map[string]bool{}
@@ -75,11 +82,11 @@
 			defer s.mu.Unlock()
 			delete(s.pulling, m.PeerAddress)
 		}()
-		s.pull(m.PeerAddress)
+		s.pullRecordsFrom(m.PeerAddress)
 	}()
 }
 
-func (s *Service) pull(address string) {
+func (s *Service) pullRecordsFrom(address string) {
 	req := &peerv1.PullConfigurationRequest{Buckets: s.Config.Buckets()}
 	resp, err := peers.Call(context.Background(), s.Pool, address, 4*s.Timeout, pullMethod, req)
 	if err != nil {
@@ -89,12 +96,12 @@
 	s.Config.Apply(decodeRecords(resp.Records))
 }
 
-// Heartbeat answers a heartbeat.
+// Heartbeat answers the heartbeat of a peer.
 func (s *Service) Heartbeat(_ context.Context, r *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error) {
 	return connect.NewResponse(s.Fleet.Heartbeat(r.Msg)), nil
 }
 
-// IndirectPing pings a member for a peer.
+// IndirectPing pings a member on behalf of a peer.
 func (s *Service) IndirectPing(ctx context.Context, r *connect.Request[peerv1.IndirectPingRequest]) (*connect.Response[peerv1.IndirectPingResponse], error) {
 	return connect.NewResponse(s.Fleet.IndirectPing(ctx, r.Msg)), nil
 }
@@ -104,18 +111,18 @@
 	return connect.NewResponse(&peerv1.PullConfigurationResponse{Records: encodeRecords(s.Config.Differing(r.Msg.Buckets))}), nil
 }
 
-// PushConfiguration takes fresh records.
+// PushConfiguration applies new records from a peer.
 func (s *Service) PushConfiguration(_ context.Context, r *connect.Request[peerv1.PushConfigurationRequest]) (*connect.Response[peerv1.PushConfigurationResponse], error) {
 	fresh := s.Config.Apply(decodeRecords(r.Msg.Records))
 	return connect.NewResponse(&peerv1.PushConfigurationResponse{Changed: len(fresh) > 0}), nil
 }
 
-// ListInstances passes on the platform's list.
+// ListInstances returns the platform's list as this instance last got it.
 func (s *Service) ListInstances(_ context.Context, r *connect.Request[peerv1.ListInstancesRequest]) (*connect.Response[peerv1.ListInstancesResponse], error) {
-	return connect.NewResponse(s.Lists.answer(r.Msg)), nil
+	return connect.NewResponse(s.Instances.handleList(r.Msg)), nil
 }
 
-// Register registers a generation.
+// Register registers a running generation.
 func (s *Service) Register(_ context.Context, r *connect.Request[peerv1.RegisterRequest]) (*connect.Response[peerv1.RegisterResponse], error) {
 	return connect.NewResponse(s.Running.HandleRegister(r.Msg)), nil
 }
@@ -126,7 +133,7 @@
 	return connect.NewResponse(&peerv1.UpdatePlaceResponse{}), nil
 }
 
-// TakeOver gives a running generation to the caller.
+// TakeOver hands a running generation over to the caller.
 func (s *Service) TakeOver(_ context.Context, r *connect.Request[peerv1.TakeOverRequest]) (*connect.Response[peerv1.TakeOverResponse], error) {
 	return connect.NewResponse(s.Running.HandleTakeOver(r.Msg)), nil
 }
@@ -137,64 +144,68 @@
 	return connect.NewResponse(&peerv1.FinishGenerationResponse{}), nil
 }
 
-// RunTicket runs a call under a ticket of this instance.
+// RunTicket runs a call under a ticket that this instance issued.
 func (s *Service) RunTicket(ctx context.Context, r *connect.Request[peerv1.RunTicketRequest]) (*connect.Response[peerv1.RunTicketResponse], error) {
 	return connect.NewResponse(s.Tickets.HandleRun(ctx, r.Msg)), nil
 }
 
-// AskTicket tells what became of a ticket.
+// AskTicket returns the outcome of a ticket.
 func (s *Service) AskTicket(_ context.Context, r *connect.Request[peerv1.AskTicketRequest]) (*connect.Response[peerv1.AskTicketResponse], error) {
 	return connect.NewResponse(s.Tickets.HandleAsk(r.Msg)), nil
 }
 
-// HandOverTickets takes over the outcomes of an instance that leaves.
+// HandOverTickets stores the ticket outcomes of an instance that is leaving.
 func (s *Service) HandOverTickets(_ context.Context, r *connect.Request[peerv1.HandOverTicketsRequest]) (*connect.Response[peerv1.HandOverTicketsResponse], error) {
 	s.Tickets.HandleHandOver(r.Msg)
 	return connect.NewResponse(&peerv1.HandOverTicketsResponse{}), nil
 }
 
-// TellCrashes takes what another instance tells of requests, and returns what is stopped.
+// TellCrashes applies the facts about requests that another instance sends. If the caller asks
+// instead, it returns the stopped requests that this instance knows.
 func (s *Service) TellCrashes(_ context.Context, r *connect.Request[peerv1.Crashes]) (*connect.Response[peerv1.Crashes], error) {
 	if r.Msg.Ask {
-		return connect.NewResponse(s.told(s.Crashes.Facts())), nil
+		return connect.NewResponse(s.newCrashesMessage(s.Crashes.Facts())), nil
 	}
-	s.hear(r.Msg)
+	s.applyCrashes(r.Msg)
 	return connect.NewResponse(&peerv1.Crashes{}), nil
 }
 
-func (s *Service) told(facts []crashers.Fact, complete bool) *peerv1.Crashes {
+func (s *Service) newCrashesMessage(facts []crashers.Fact, complete bool) *peerv1.Crashes {
 	return &peerv1.Crashes{Instance: s.Fleet.Self().ID, Complete: complete, Facts: crashes.EncodeFacts(time.Now(), facts)}
 }
 
-func (s *Service) hear(c *peerv1.Crashes) {
+func (s *Service) applyCrashes(c *peerv1.Crashes) {
 	s.Crashes.Heard(c.Instance, crashes.DecodeFacts(time.Now(), c.Facts), c.Complete)
 }
 
-// SpreadCrashes tells all others of requests, at once: an instance that does not know lets another endpoint end.
-func (s *Service) SpreadCrashes(facts []crashers.Fact, complete bool) {
-	req := s.told(facts, complete)
+// BroadcastCrashes sends facts about requests to all other instances at once. An instance that
+// lacks them could send such a request to another endpoint, which would crash too. complete says
+// that this instance knows all stops in the store.
+func (s *Service) BroadcastCrashes(facts []crashers.Fact, complete bool) {
+	req := s.newCrashesMessage(facts, complete)
 	for _, m := range s.Fleet.Others() {
 		go func() {
 			if _, err := peers.Call(context.Background(), s.Pool, m.PeerAddress, s.Timeout, crashesMethod, req); err != nil {
-				s.Scope.Counter("crashes_not_told").Inc(1) // it asks by itself
+				s.Scope.Counter("crashes_not_told").Inc(1) // the peer gets stopped requests by polling
 			}
 		}()
 	}
 }
 
-// askCrashesEvery is the time between two questions for what is stopped: one that was cut off knows soon after it is back.
-const askCrashesEvery = 2 * time.Second
+// pollCrashesInterval is the time between two polls for stopped requests. An instance that was
+// disconnected gets them soon after it is connected again.
+const pollCrashesInterval = 2 * time.Second
 
-// AskCrashes asks another instance after the other for what is stopped, until ctx ends.
-func (s *Service) AskCrashes(ctx context.Context) {
-	pause.Every(ctx, askCrashesEvery, func() {
+// PollCrashes asks a random peer for the stopped requests at each interval, until ctx ends.
+func (s *Service) PollCrashes(ctx context.Context) {
+	pause.Every(ctx, pollCrashesInterval, func() {
 		for _, m := range s.Fleet.Sample(1) {
 			resp, err := peers.Call(ctx, s.Pool, m.PeerAddress, s.Timeout, crashesMethod, &peerv1.Crashes{Instance: s.Fleet.Self().ID, Ask: true})
 			if err != nil {
 				s.Scope.Counter("crashes_not_told").Inc(1)
 				continue
 			}
-			s.hear(resp)
+			s.applyCrashes(resp)
 		}
 	})
 }
