--- a/gateway/telemetry/alerts_test.go
+++ b/gateway/telemetry/alerts_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAlertsNameMetrics: each metric of the example's alert rules is one that the daemon has.
-func TestAlertsNameMetrics(t *testing.T) {
+// TestAlertRulesNameExistingMetrics guards against alert rules that never fire: each metric in the
+// example's rules must occur as a metric name in the daemon's sources.
+func TestAlertRulesNameExistingMetrics(t *testing.T) {
 	const prefix = "agateway_"
 	rules, err := os.ReadFile("../../examples/alerts.yml")
 	assert.NilError(t, err)
@@ -21,11 +22,11 @@
 	assert.Assert(t, len(named) > 0)
 	for _, name := range named {
 		metric := strings.TrimSuffix(strings.TrimPrefix(name, prefix), "_bucket")
-		assert.Assert(t, strings.Contains(sources, `"`+metric+`"`), "no metric is called %s", name)
+		assert.Assert(t, strings.Contains(sources, `"`+metric+`"`), "there is no metric %s", name)
 	}
 }
 
-// allSources returns the Go sources of a folder, without tests.
+// allSources returns the concatenated Go sources of a folder, without tests.
 func allSources(t *testing.T, dir string) string {
 	var all strings.Builder
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
--- a/gateway/telemetry/telemetry.go
+++ b/gateway/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up logs, metrics and traces. Counters come first: a log line is
-// written only for a change of state.
+// Package telemetry sets up logs, metrics and traces. Frequent events are counted in metrics; a
+// log line is written only for a change of state.
 package telemetry
 
 import (
@@ -23,18 +23,20 @@
 	"github.com/agateway/agateway/gateway/settings"
 )
 
-// Telemetry is what a process reports with.
+// Telemetry holds the logger, the metrics and the tracer of a process. Metrics serves the metrics
+// in the format of Prometheus.
 type Telemetry struct {
 	Log     *logrus.Entry
 	Scope   tally.Scope
 	Metrics http.Handler
 	Tracer  trace.Tracer
-	close   []func()
+	closers []func()
 }
 
 const reportInterval = time.Second
 
-// New sets up telemetry for an instance.
+// New sets up telemetry for an entry instance, with logs as text or JSON. It returns an error if
+// the log level or the trace exporter is invalid.
 func New(s *settings.Settings, out io.Writer) (*Telemetry, error) {
 	log := logrus.New()
 	log.SetOutput(out)
@@ -47,11 +49,12 @@
 	}
 	log.SetLevel(level)
 	t := &Telemetry{Log: log.WithField("instance", s.Instance.ID)}
-	t.metrics()
-	return t, t.traces(s.Traces, s.Instance.ID)
+	t.setUpMetrics()
+	return t, t.setUpTraces(s.Traces, s.Instance.ID)
 }
 
-// NewFront sets up logs as JSON lines and metrics, for an instance that forwards.
+// NewFront sets up telemetry for an instance that forwards. Logs are JSON lines. It returns an
+// error if the log level or the trace exporter is invalid.
 func NewFront(s *settings.Front, out io.Writer) (*Telemetry, error) {
 	log := logrus.New()
 	log.SetOutput(out)
@@ -62,26 +65,26 @@
 	}
 	log.SetLevel(level)
 	t := &Telemetry{Log: log.WithField("instance", s.Instance.ID)}
-	t.metrics()
-	return t, t.traces(s.Traces, s.Instance.ID)
+	t.setUpMetrics()
+	return t, t.setUpTraces(s.Traces, s.Instance.ID)
 }
 
-func (t *Telemetry) metrics() {
+func (t *Telemetry) setUpMetrics() {
 	registry := client.NewRegistry()
 	sanitize := prometheus.DefaultSanitizerOpts
-	sanitize.ValueCharacters.Characters = tally.UnderscoreDashDotCharacters // names of deployments as they are
+	sanitize.ValueCharacters.Characters = tally.UnderscoreDashDotCharacters // keeps names of deployments unchanged
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "agateway", CachedReporter: reporter, Separator: prometheus.DefaultSeparator,
 		SanitizeOptions: &sanitize, OmitCardinalityMetrics: true,
 	}, reportInterval)
 	t.Scope, t.Metrics = scope, reporter.HTTPHandler()
-	t.close = append(t.close, func() { _ = closer.Close() })
+	t.closers = append(t.closers, func() { _ = closer.Close() })
 }
 
-// traces sets up the tracer. Without an exporter spans are not recorded, but a caller's
-// traceparent still travels to the endpoint.
-func (t *Telemetry) traces(s settings.Traces, instance string) error {
+// setUpTraces sets up the tracer. Without an exporter no spans are recorded, but a caller's
+// traceparent is still passed on to the endpoint.
+func (t *Telemetry) setUpTraces(s settings.Traces, instance string) error {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if s.Exporter == "none" {
 		t.Tracer = otel.Tracer("agateway")
@@ -100,13 +103,13 @@
 	)
 	otel.SetTracerProvider(provider)
 	t.Tracer = provider.Tracer("agateway")
-	t.close = append(t.close, func() { _ = provider.Shutdown(context.Background()) })
+	t.closers = append(t.closers, func() { _ = provider.Shutdown(context.Background()) })
 	return nil
 }
 
-// Close flushes what is left.
+// Close flushes pending metrics and spans.
 func (t *Telemetry) Close() {
-	for _, f := range t.close {
+	for _, f := range t.closers {
 		f()
 	}
 }
--- a/gateway/telemetry/telemetry_test.go
+++ b/gateway/telemetry/telemetry_test.go
@@ -14,8 +14,9 @@
 	"github.com/agateway/agateway/gateway/telemetry"
 )
 
-// TestSpansReachTheCollector exports a span over OTLP/HTTP to a stand-in of a collector.
-func TestSpansReachTheCollector(t *testing.T) {
+// TestSpansAreExported checks that a span reaches a collector over OTLP/HTTP, with the instance's
+// id.
+func TestSpansAreExported(t *testing.T) {
 	got := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		raw, err := io.ReadAll(r.Body)
@@ -42,7 +43,7 @@
 	tel, err := telemetry.New(s, io.Discard)
 	assert.NilError(t, err)
 	tel.Scope.Tagged(map[string]string{"deployment": "brief-llm"}).Counter("requests").Inc(3)
-	tel.Close() // reports what is left
+	tel.Close() // reports pending metrics
 	w := httptest.NewRecorder()
 	tel.Metrics.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	assert.Assert(t, strings.Contains(w.Body.String(), `agateway_requests{deployment="brief-llm"} 3`), w.Body.String())
