--- a/gateway/config/sync.go
+++ b/gateway/config/sync.go
@@ -53,7 +53,7 @@
 // lists, so that no change between them is missed.
 func (c *Config) pull(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
 	if since > 0 {
-		objects, next, err := c.platform.Watch(ctx, platform.Watched, since, wait)
+		objects, next, err := c.platform.Watch(ctx, platform.WatchedKinds, since, wait)
 		if err != nil {
 			return since, err
 		}
@@ -65,7 +65,7 @@
 		return max(next, since), nil
 	}
 	var lowest uint64
-	for _, kind := range platform.Watched {
+	for _, kind := range platform.WatchedKinds {
 		objects, revisionNow, err := c.platform.List(ctx, kind)
 		if err != nil {
 			return 0, err
--- a/gateway/platform/objects.go
+++ b/gateway/platform/objects.go
@@ -14,41 +14,44 @@
 	store "github.com/agateway/agateway/platform"
 )
 
-// Objects is the object API on the platform's metadata store. Each object lies there in an envelope with
-// its version, since the store itself only numbers the writes of all objects together; a deleted one of a
-// kind that is watched stays as an empty envelope, so that those who list later hear of it.
+// Objects implements [Client] on the platform's metadata store. Each object is stored in an
+// envelope with its own version, since the store numbers only the writes of all objects together.
+// A deleted object of a watched kind stays as an empty envelope, so that instances that list later
+// learn of the deletion.
 type Objects struct {
-	store  *store.Store
-	lastOK atomic.Int64
+	store         *store.Store
+	lastSuccessMS atomic.Int64
 }
 
-// Kinds of the store under which objects lie.
+// Kinds of the store that hold the objects.
 const (
-	// kindConfiguration holds all that is watched together, so that one watch serves them.
+	// kindConfiguration holds the objects of all watched kinds together, so that one watch covers
+	// them.
 	kindConfiguration = "agateway-configuration"
 	// kindListed holds the list of instances.
 	kindListed = "agateway-listed"
-	// kindPrefix goes before the name of every other kind.
+	// kindPrefix precedes the name of every other kind.
 	kindPrefix = "agateway-"
 )
 
-// NewObjects returns the object API of the store at base (http://IP:PORT). timeout bounds one call; a
-// watch may take its own wait besides.
+// NewObjects returns the object API of the store at base (http://IP:PORT). timeout bounds one
+// call. A watch may take its wait in addition.
 func NewObjects(base string, timeout time.Duration, n network.Network) *Objects {
 	address := strings.TrimSuffix(strings.TrimPrefix(base, "http://"), "/")
-	// Shorter than a call, so that a connection that never came about is told from a lost answer.
+	// The dial timeout is shorter than that of a call. So a connection that could not be
+	// established is distinguished from a lost answer.
 	return &Objects{store: store.NewStore(address, timeout, network.DialerWithTimeout(n, timeout/2))}
 }
 
-// Store returns the store itself, for what lies there without an envelope.
+// Store returns the client of the store itself, for objects that are stored without an envelope.
 func (o *Objects) Store() *store.Store { return o.store }
 
-// Reachable tells whether a call succeeded within the last d.
+// Reachable reports whether a call succeeded within the last d.
 func (o *Objects) Reachable(d time.Duration) bool {
-	return time.Since(time.UnixMilli(o.lastOK.Load())) < d
+	return time.Since(time.UnixMilli(o.lastSuccessMS.Load())) < d
 }
 
-// envelope is how an object lies in the store.
+// envelope is the stored form of an object.
 type envelope struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
@@ -57,9 +60,9 @@
 	Deleted bool            `json:"deleted,omitempty"`
 }
 
-// place returns the store's kind and name of an object.
-func place(kind, name string) (string, string) {
-	if slices.Contains(Watched, kind) {
+// storeKey returns the kind and name under which the store holds an object.
+func storeKey(kind, name string) (string, string) {
+	if slices.Contains(WatchedKinds, kind) {
 		return kindConfiguration, kind + "." + name
 	}
 	return kindPrefix + kind, name
@@ -67,17 +70,17 @@
 
 // Get implements [Client].
 func (o *Objects) Get(ctx context.Context, kind, name string) (Object, error) {
-	at, as := place(kind, name)
-	raw, err := o.store.Get(ctx, at, as)
+	storeKind, storeName := storeKey(kind, name)
+	raw, err := o.store.Get(ctx, storeKind, storeName)
 	if err != nil {
-		return Object{}, o.failed(err)
+		return Object{}, o.convertError(err)
 	}
-	o.worked()
-	return opened(&raw)
+	o.recordSuccess()
+	return decodeObject(&raw)
 }
 
-// opened takes an object out of its envelope.
-func opened(raw *store.Object) (Object, error) {
+// decodeObject decodes the object in an envelope.
+func decodeObject(raw *store.Object) (Object, error) {
 	var e envelope
 	if err := json.Unmarshal(raw.Spec, &e); err != nil {
 		return Object{}, ErrUnavailable.Wrap(err, "object %s can't be read", raw.Name)
@@ -89,21 +92,21 @@
 
 // List implements [Client].
 func (o *Objects) List(ctx context.Context, kind string) ([]Object, uint64, error) {
-	at, _ := place(kind, "")
-	page, err := o.store.List(ctx, at)
+	storeKind, _ := storeKey(kind, "")
+	page, err := o.store.List(ctx, storeKind)
 	if err != nil {
-		return nil, 0, o.failed(err)
+		return nil, 0, o.convertError(err)
 	}
-	o.worked()
-	out, err := ofKinds(page.Objects, []string{kind})
+	o.recordSuccess()
+	out, err := decodeKinds(page.Objects, []string{kind})
 	return out, page.Revision, err
 }
 
-// ofKinds takes the objects of some kinds out of their envelopes.
-func ofKinds(raw []store.Object, kinds []string) ([]Object, error) {
+// decodeKinds decodes envelopes and returns the objects of the given kinds.
+func decodeKinds(raw []store.Object, kinds []string) ([]Object, error) {
 	var out []Object
 	for i := range raw {
-		object, err := opened(&raw[i])
+		object, err := decodeObject(&raw[i])
 		if err != nil {
 			return nil, err
 		}
@@ -124,7 +127,7 @@
 	return o.write(ctx, envelope{Kind: kind, Name: name, Deleted: true}, ifVersion)
 }
 
-// write writes an envelope if the object's version is ifVersion; 0 creates.
+// write writes an envelope if the object's version is ifVersion; 0 creates it.
 func (o *Objects) write(ctx context.Context, e envelope, ifVersion uint64) (Object, error) {
 	if ifVersion == 0 && !e.Deleted {
 		e.Version = 1
@@ -137,24 +140,25 @@
 	if err != nil {
 		return Object{}, err
 	}
-	again := old.Deleted && ifVersion == 0 && !e.Deleted // a deleted name may be created again
-	if old.Version != ifVersion && !again {
+	recreate := old.Deleted && ifVersion == 0 && !e.Deleted // a deleted object may be created again
+	if old.Version != ifVersion && !recreate {
 		return old, ErrConflict.New("%s %q has version %d, not %d", e.Kind, e.Name, old.Version, ifVersion)
 	}
 	e.Version = old.Version + 1
-	if e.Deleted && !slices.Contains(Watched, e.Kind) {
+	if e.Deleted && !slices.Contains(WatchedKinds, e.Kind) {
 		return o.remove(ctx, &e, old.Revision)
 	}
 	return o.replace(ctx, &e, old.Revision)
 }
 
-// remove removes an object for good: nobody watches its kind, so nobody has to hear of it.
+// remove removes an object from the store. Nobody watches its kind, so nobody needs to learn of
+// the deletion.
 func (o *Objects) remove(ctx context.Context, e *envelope, revision uint64) (Object, error) {
-	at, as := place(e.Kind, e.Name)
-	if err := o.store.Delete(ctx, at, as, revision); err != nil {
-		return Object{}, o.failed(err)
+	storeKind, storeName := storeKey(e.Kind, e.Name)
+	if err := o.store.Delete(ctx, storeKind, storeName, revision); err != nil {
+		return Object{}, o.convertError(err)
 	}
-	o.worked()
+	o.recordSuccess()
 	return Object{Kind: e.Kind, Name: e.Name, Version: e.Version, Deleted: true}, nil
 }
 
@@ -163,8 +167,8 @@
 	if err != nil {
 		return Object{}, ErrUnavailable.Wrap(err, "can't encode")
 	}
-	at, as := place(e.Kind, e.Name)
-	return o.written(o.store.Create(ctx, at, as, raw))
+	storeKind, storeName := storeKey(e.Kind, e.Name)
+	return o.writeResult(o.store.Create(ctx, storeKind, storeName, raw))
 }
 
 func (o *Objects) replace(ctx context.Context, e *envelope, revision uint64) (Object, error) {
@@ -172,57 +176,60 @@
 	if err != nil {
 		return Object{}, ErrUnavailable.Wrap(err, "can't encode")
 	}
-	at, as := place(e.Kind, e.Name)
-	return o.written(o.store.Replace(ctx, at, as, raw, revision))
+	storeKind, storeName := storeKey(e.Kind, e.Name)
+	return o.writeResult(o.store.Replace(ctx, storeKind, storeName, raw, revision))
 }
 
-func (o *Objects) written(raw store.Object, err error) (Object, error) {
+func (o *Objects) writeResult(raw store.Object, err error) (Object, error) {
 	if err != nil {
-		return Object{}, o.failed(err)
+		return Object{}, o.convertError(err)
 	}
-	o.worked()
-	return opened(&raw)
+	o.recordSuccess()
+	return decodeObject(&raw)
 }
 
-// Watch implements [Client]. The kinds have to be among [Watched].
+// Watch implements [Client].
 func (o *Objects) Watch(ctx context.Context, kinds []string, since uint64, wait time.Duration) ([]Object, uint64, error) {
 	page, err := o.store.Watch(ctx, kindConfiguration, since, wait)
 	if err != nil {
-		return nil, since, o.failed(err)
+		return nil, since, o.convertError(err)
 	}
-	o.worked()
-	out, err := ofKinds(page.Objects, kinds)
+	o.recordSuccess()
+	out, err := decodeKinds(page.Objects, kinds)
 	return out, page.Revision, err
 }
 
-// listing is how an instance lies in the store. Nothing there ends by itself, so it says when it ends.
-type listing struct {
+// listEntry is the stored form of an entry of the list. The store doesn't expire objects, so the
+// entry contains its expiry time.
+type listEntry struct {
 	Listed
-	// UntilMS is when the entry ends, by the clock of the instance, in milliseconds since 1970. The list
-	// is a hint: clocks that differ by seconds make it a little longer or shorter.
+	// UntilMS is when the entry expires, by the clock of the registered instance, in milliseconds
+	// since 1970. Clocks that differ by some seconds make an entry last a little longer or
+	// shorter. That does no harm, since the list is only a hint.
 	UntilMS int64 `json:"until_ms"`
 }
 
-// forgetAfter is how long after its end an entry is removed by whoever sees it.
-const forgetAfter = time.Minute
+// removeExpiredAfter is how long after its expiry an entry is removed from the store by the next
+// instance that reads the list.
+const removeExpiredAfter = time.Minute
 
 // Instances implements [Client].
 func (o *Objects) Instances(ctx context.Context) ([]Listed, error) {
 	page, err := o.store.List(ctx, kindListed)
 	if err != nil {
-		return nil, o.failed(err)
+		return nil, o.convertError(err)
 	}
-	o.worked()
+	o.recordSuccess()
 	var out []Listed
 	for _, raw := range page.Objects {
-		var l listing
+		var l listEntry
 		if err := json.Unmarshal(raw.Spec, &l); err != nil {
 			return nil, ErrUnavailable.Wrap(err, "entry %s can't be read", raw.Name)
 		}
 		until := time.UnixMilli(l.UntilMS)
 		if time.Now().Before(until) {
 			out = append(out, l.Listed)
-		} else if time.Since(until) > forgetAfter {
+		} else if time.Since(until) > removeExpiredAfter {
 			_ = o.store.Delete(ctx, kindListed, raw.Name, raw.Revision) // the next reader tries again
 		}
 	}
@@ -231,21 +238,21 @@
 
 // Register implements [Client].
 func (o *Objects) Register(ctx context.Context, l Listed, ttl time.Duration) error {
-	raw, err := json.Marshal(listing{l, time.Now().Add(ttl).UnixMilli()})
+	raw, err := json.Marshal(listEntry{l, time.Now().Add(ttl).UnixMilli()})
 	if err != nil {
 		return ErrUnavailable.Wrap(err, "can't encode")
 	}
-	_, err = o.written(o.store.Replace(ctx, kindListed, l.ID, raw, 0))
+	_, err = o.writeResult(o.store.Replace(ctx, kindListed, l.ID, raw, 0))
 	if errorx.IsOfType(err, ErrNotFound) {
-		_, err = o.written(o.store.Create(ctx, kindListed, l.ID, raw))
+		_, err = o.writeResult(o.store.Create(ctx, kindListed, l.ID, raw))
 	}
 	return err
 }
 
-func (o *Objects) worked() { o.lastOK.Store(time.Now().UnixMilli()) }
+func (o *Objects) recordSuccess() { o.lastSuccessMS.Store(time.Now().UnixMilli()) }
 
-// failed turns the errors of the store's client into those of this layer.
-func (o *Objects) failed(err error) error {
+// convertError converts the errors of the store's client into those of this package.
+func (o *Objects) convertError(err error) error {
 	switch {
 	case errorx.IsOfType(err, store.ErrNotFound):
 		return ErrNotFound.Wrap(err, "no such object")
--- a/gateway/platform/platform.go
+++ b/gateway/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform is the interface to the platform's object API: versions, conditional
-// updates, watches, and a list of live and leaving instances that lags.
+// Package platform is the interface to the platform's object API. It offers versioned objects,
+// conditional updates, watches, and a list of live and leaving instances that lags.
 //
-// Failure modes, as typed errors: the platform can be down or slow ([ErrUnavailable]); a
-// write can take effect although its answer is lost ([ErrUncertain]), which the caller has
-// to resolve by reading the object again; a conditional write can lose ([ErrConflict]).
+// Failure modes, as typed errors: the platform can be down or slow ([ErrUnavailable]). A write can
+// take effect although its answer is lost ([ErrUncertain]); the caller has to read the object
+// again to find out. A conditional write can lose against another one ([ErrConflict]).
 package platform
 
 import (
@@ -14,73 +14,75 @@
 	"github.com/joomcode/errorx"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	namespace = errorx.NewNamespace("platform")
-	// ErrUnavailable: the call certainly had no effect, or was a read.
+	// ErrUnavailable means that the call certainly had no effect, or was a read.
 	ErrUnavailable = namespace.NewType("unavailable", errorx.Temporary())
-	// ErrUncertain: a write whose answer was lost; it may have taken effect.
+	// ErrUncertain means that the answer to a write was lost; the write may have taken effect.
 	ErrUncertain = namespace.NewType("uncertain", errorx.Temporary())
-	// ErrConflict: the object has another version than the write was made for.
+	// ErrConflict means that the object has another version than the write expected.
 	ErrConflict = namespace.NewType("conflict")
-	// ErrNotFound: there is no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = namespace.NewType("not_found", errorx.NotFound())
 )
 
-// Object is one versioned object.
+// Object is a versioned object.
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version counts the writes of this object, from 1.
+	// Version is the number of writes of this object, from 1.
 	Version uint64 `json:"version"`
-	// Revision orders writes over all objects; watches go on from one.
+	// Revision orders the writes of all objects. A watch continues from a revision.
 	Revision uint64          `json:"revision"`
 	Value    json.RawMessage `json:"value,omitempty"`
 	Deleted  bool            `json:"deleted,omitempty"`
 }
 
-// Role of a listed instance.
+// Role is the role of a listed instance.
 type Role string
 
-// Roles.
+// Roles of listed instances.
 const (
 	RoleGateway Role = "gateway"
 	RoleEngine  Role = "engine"
 	RolePlain   Role = "plain"
 )
 
-// Listed is one entry of the platform's list of instances. The list lags.
+// Listed is an entry of the platform's list of instances. The list lags behind their real state.
 type Listed struct {
 	ID         string `json:"id"`
 	Role       Role   `json:"role"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Service is the endpoint group; empty for gateways.
+	// Service is the endpoint's group; empty for gateways.
 	Service string `json:"service,omitempty"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// ChecksFencing tells that the endpoint refuses orders with an old fencing number.
+	// ChecksFencing reports that the endpoint refuses orders with an old fencing number.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
-// Watched are the kinds that can be watched.
-var Watched = []string{"deployment", "team"}
+// WatchedKinds are the kinds of objects that can be watched.
+var WatchedKinds = []string{"deployment", "team"}
 
 // Client is the platform's object API. Implementations are safe for concurrent use.
 type Client interface {
-	// Get returns an object, deleted ones included.
+	// Get returns an object, even if it is marked deleted.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// List returns the objects of a kind, deleted ones included, and the revision to
+	// List returns the objects of a kind, including those marked deleted, and the revision to
 	// watch from.
 	List(ctx context.Context, kind string) ([]Object, uint64, error)
-	// Put writes an object if its version is ifVersion; 0 creates.
+	// Put writes an object if its version is ifVersion; 0 creates it.
 	Put(ctx context.Context, kind, name string, value json.RawMessage, ifVersion uint64) (Object, error)
-	// Delete marks an object deleted if its version is ifVersion.
+	// Delete deletes an object if its version is ifVersion. It marks objects of [WatchedKinds] as
+	// deleted, and removes others.
 	Delete(ctx context.Context, kind, name string, ifVersion uint64) (Object, error)
-	// Watch returns the objects of the kinds, which are among [Watched], that changed after a revision, waiting for
-	// a change as long as wait.
+	// Watch returns the objects of the kinds that changed after a revision, and the revision to
+	// watch from next. It waits up to wait for a change. The kinds have to be among
+	// [WatchedKinds].
 	Watch(ctx context.Context, kinds []string, since uint64, wait time.Duration) ([]Object, uint64, error)
 	// Instances returns the list of instances.
 	Instances(ctx context.Context) ([]Listed, error)
-	// Register names an instance in the list until ttl has passed.
+	// Register adds an instance to the list, or renews its entry. The entry expires after ttl.
 	Register(ctx context.Context, l Listed, ttl time.Duration) error
 }
--- a/gateway/platform/platform_test.go
+++ b/gateway/platform/platform_test.go
@@ -16,20 +16,21 @@
 
 var value = []byte(`{"a":1}`)
 
-// TestObjects is the contract of the object API, on a store that speaks the published protocol.
+// TestObjects checks the contract of [platform.Client] for Objects, on the stand-in of the store:
+// conditional writes, watches, reuse of a deleted name, and entries of the list that expire.
 func TestObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := memnet.New()
 		l, err := net.Node("store").Listen("10.0.9.1:80")
 		assert.NilError(t, err)
 		stop := standin.Serve(l, standin.NewStore(0))
-		contract(t, platform.NewObjects("http://10.0.9.1:80", 2*time.Second, net.Node("instance")))
+		checkContract(t, platform.NewObjects("http://10.0.9.1:80", 2*time.Second, net.Node("instance")))
 		stop()
 		net.CloseAll()
 	})
 }
 
-func contract(t *testing.T, p platform.Client) {
+func checkContract(t *testing.T, p platform.Client) {
 	ctx := context.Background()
 	_, err := p.Get(ctx, "team", "a")
 	assert.Assert(t, errorx.IsOfType(err, platform.ErrNotFound))
