--- a/cli/command/soak.go
+++ b/cli/command/soak.go
@@ -21,7 +21,7 @@
 		Use: "soak", Short: "Runs instances as processes under random faults and checks what callers and endpoints see",
 		Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o.Length, o.Out = time.Duration(seconds)*time.Second, cmd.OutOrStdout()
+			o.FaultDuration, o.Out = time.Duration(seconds)*time.Second, cmd.OutOrStdout()
 			if regressions {
 				return playRegressions(cmd, o)
 			}
@@ -42,15 +42,15 @@
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of faults and load")
 	f.IntVar(&seconds, "seconds", 20, "how long faults are injected")
-	f.IntVar(&o.Fronts, "fronts", 5, "instances")
+	f.IntVar(&o.Instances, "fronts", 5, "instances")
 	f.IntVar(&o.Engines, "engines", 9, "model engines")
-	f.IntVar(&o.Plain, "plain", 4, "plain endpoints")
+	f.IntVar(&o.PlainEndpoints, "plain", 4, "plain endpoints")
 	f.IntVar(&o.Callers, "callers", 20, "callers")
 	f.StringVar(&o.Program, "program", "bin/agatewayd", "the daemon")
-	f.StringSliceVar(&o.Without, "without", nil, "mechanisms of the daemon to switch off, by their names in its settings")
-	f.StringSliceVar(&o.Only, "only", nil, "faults to draw, by name, in place of those of the seed")
-	f.DurationVar(&o.Grace, "grace", soak.DefaultGrace, "time that an instance has to end after SIGTERM")
-	f.DurationVar(&o.Work, "work", soak.DefaultWork, "how long plain requests take")
+	f.StringSliceVar(&o.DisabledMechanisms, "without", nil, "mechanisms of the daemon to switch off, by their names in its settings")
+	f.StringSliceVar(&o.FaultNames, "only", nil, "faults to draw, by name, in place of those of the seed")
+	f.DurationVar(&o.ShutdownGrace, "grace", soak.DefaultShutdownGrace, "time that an instance has to end after SIGTERM")
+	f.DurationVar(&o.WorkTime, "work", soak.DefaultWorkTime, "how long plain requests take")
 	f.BoolVar(&regressions, "regressions", false, "play the soaks that once found a fault, in place of one seed")
 	f.StringVar(&report, "report", "", "file for the figures, as JSON")
 	f.StringVar(&page, "page", "", "file for a page with a plot")
@@ -61,7 +61,7 @@
 func playRegressions(cmd *cobra.Command, base soak.Options) error {
 	var failed []error
 	for _, one := range soak.Regressions() {
-		_, _ = fmt.Fprintf(base.Out, "seed %d, %v: %s\n", one.Seed, one.Length, one.Cause)
+		_, _ = fmt.Fprintf(base.Out, "seed %d, %v: %s\n", one.Seed, one.FaultDuration, one.Cause)
 		r, err := one.Run(cmd.Context(), base)
 		if err == nil {
 			printResult(base.Out, &r)
--- a/cli/soak/callers.go
+++ b/cli/soak/callers.go
@@ -12,43 +12,43 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// How long callers wait.
+// Timeouts of callers.
 const (
 	streamWait = 12 * time.Second
 	plainWait  = 1500 * time.Millisecond
-	// lateMost is by how much an answer may come later than its caller waits: a paused instance can't
-	// answer, so a caller gives up by itself then.
-	lateMost = 500 * time.Millisecond
+	// maxLateness is how much longer than the request's timeout a caller waits for an answer. A
+	// paused instance can't answer, so the caller gives up by itself then.
+	maxLateness = 500 * time.Millisecond
 )
 
-// asked is a request with what became of it.
-type asked struct {
+// call is a request and its outcome.
+type call struct {
 	id, key, body string
-	once          bool // it must not run twice
+	nonIdempotent bool // must not run more than once
 	sent          time.Time
 	ended         time.Time
 	answer        standin.Answer
 	err           error
-	wait          time.Duration
-	// left tells that the caller closed its connection before the answer had come.
-	left bool
-	// version is the one whose own route was asked for; 0 for another route.
-	version uint64
-	// process is the name of the instance that was asked.
+	timeout       time.Duration
+	// abandoned reports whether the caller closed its connection before the answer came.
+	abandoned bool
+	// routeVersion is the configuration version whose own route was requested; 0 for another route.
+	routeVersion uint64
+	// process is the name of the instance that received the request.
 	process string
 }
 
-// caller asks for one thing after the other, on a connection that it keeps as long as it can.
+// caller sends one request after the other. It keeps its connection open as long as possible.
 type caller struct {
-	soak *soak
-	rnd  *rand.Rand
-	conn *standin.Client
-	at   int // the process it is connected to
-	n    int
-	name string
-	// seen is the highest version that was found in force on the open connection, by a process that did not start
-	// anew meanwhile.
-	seen uint64
+	soak         *soak
+	rnd          *rand.Rand
+	conn         *standin.Client
+	processIndex int // index of the process that conn goes to
+	requests     int
+	name         string
+	// highestVersion is the highest configuration version that answered on the open connection. It
+	// is reset with the connection.
+	highestVersion uint64
 }
 
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -56,7 +56,7 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// run asks until ctx ends.
+// run sends requests until ctx ends.
 func (c *caller) run(ctx context.Context) {
 	defer func() {
 		if c.conn != nil {
@@ -64,95 +64,98 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		c.one(ctx)
+		c.sendRequest(ctx)
 		time.Sleep(time.Duration(c.rnd.IntN(80)) * time.Millisecond)
 	}
 }
 
-// one asks for one thing, and hands what became of it to the checks.
-func (c *caller) one(ctx context.Context) {
-	c.n++
-	r, a := c.request()
+// sendRequest sends one request and passes its outcome to the checks.
+func (c *caller) sendRequest(ctx context.Context) {
+	c.requests++
+	r, a := c.drawRequest()
 	if !c.connect(ctx) {
 		return
 	}
-	patience := r.Timeout + lateMost
-	if a.left = c.rnd.IntN(leaveOneIn) == 0; a.left {
-		patience = time.Duration(10+c.rnd.IntN(1500)) * time.Millisecond
+	timeout := r.Timeout + maxLateness
+	if a.abandoned = c.rnd.IntN(abandonOneIn) == 0; a.abandoned {
+		timeout = time.Duration(10+c.rnd.IntN(1500)) * time.Millisecond
 	}
-	wait, cancel := context.WithTimeout(context.Background(), patience)
+	callCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	a.process = c.soak.world.processes[c.at].name
+	a.process = c.soak.env.processes[c.processIndex].name
 	a.sent = time.Now()
-	a.answer, a.err = c.conn.Do(wait, r)
+	a.answer, a.err = c.conn.Do(callCtx, r)
 	a.ended = time.Now()
-	a.left = a.left && wait.Err() != nil
-	c.reverted(a)
+	a.abandoned = a.abandoned && callCtx.Err() != nil
+	c.checkVersionOrder(a)
 	if a.err != nil || a.answer.CloseConnection || !a.answer.Complete || a.answer.Status != http.StatusOK {
 		c.conn.Close()
-		c.conn, c.seen = nil, 0
+		c.conn, c.highestVersion = nil, 0
 	}
-	c.soak.check(&r, a)
+	c.soak.checkCall(&r, a)
 }
 
-// leaveOneIn is how many requests there are for one whose caller leaves early.
-const leaveOneIn = 12
+// abandonOneIn means that one request in so many gets a caller that waits only for a short random
+// time. The request is abandoned if its answer doesn't come in that time.
+const abandonOneIn = 12
 
-// reverted notes a version that was found in force, and finds fault with an older one after it.
-func (c *caller) reverted(a *asked) {
-	if a.version == 0 || a.err != nil || a.answer.Status != http.StatusOK {
+// checkVersionOrder records the configuration version that served the request. It adds a finding if
+// a newer version served an earlier request on this connection.
+func (c *caller) checkVersionOrder(a *call) {
+	if a.routeVersion == 0 || a.err != nil || a.answer.Status != http.StatusOK {
 		return
 	}
-	if a.version < c.seen {
-		c.soak.finding("%s served version %d on a connection on which it had served %d", a.process, a.version, c.seen)
+	if a.routeVersion < c.highestVersion {
+		c.soak.addFinding("%s served version %d on a connection on which it had served %d", a.process, a.routeVersion, c.highestVersion)
 	}
-	c.seen = max(c.seen, a.version)
+	c.highestVersion = max(c.highestVersion, a.routeVersion)
 }
 
-// request draws what to ask for.
-func (c *caller) request() (standin.Request, *asked) {
-	id := fmt.Sprintf("%s-%d", c.name, c.n)
-	key := keptKey
-	if now, before := c.soak.world.lastKeys(); c.rnd.IntN(2) == 0 {
-		key = now
+// drawRequest returns a random request, with the call that records its outcome.
+func (c *caller) drawRequest() (standin.Request, *call) {
+	id := fmt.Sprintf("%s-%d", c.name, c.requests)
+	key := permanentKey
+	if current, previous := c.soak.env.latestKeys(); c.rnd.IntN(2) == 0 {
+		key = current
 		if c.rnd.IntN(3) == 0 {
-			key = before
+			key = previous
 		}
 	}
 	r := standin.Request{Method: http.MethodPost, Host: host, ID: id, Key: key, Body: "the case " + id, Timeout: plainWait}
-	a := &asked{id: id, key: key}
-	defer func() { a.wait, a.body = r.Timeout, r.Body }()
-	if path, body := c.soak.world.fatals.draw(c.rnd); path != "" && c.rnd.IntN(fatalOneIn) == 0 {
-		askFatal(&r, a, path, body)
+	a := &call{id: id, key: key}
+	defer func() { a.timeout, a.body = r.Timeout, r.Body }()
+	if path, body := c.soak.env.fatalRequests.draw(c.rnd); path != "" && c.rnd.IntN(fatalOneIn) == 0 {
+		makeFatal(&r, a, path, body)
 		return r, a
 	}
 	r.ForgeHeaders = c.rnd.IntN(4) == 0
 	switch c.rnd.IntN(5) {
 	case 4:
-		if v := c.soak.world.lastRoute(); v > 1 {
-			a.version = v - uint64(c.rnd.IntN(2))
+		if v := c.soak.env.latestRouteVersion(); v > 1 {
+			a.routeVersion = v - uint64(c.rnd.IntN(2))
 		}
-		r.Path, r.Key, a.key = versionPath(a.version)+"1", keptKey, keptKey
+		r.Path, r.Key, a.key = versionPath(a.routeVersion)+"1", permanentKey, permanentKey
 	case 0:
-		r.Path, r.Timeout, r.PromptID, r.PromptTokens = "/brief/1", streamWait, fmt.Sprintf("%x", id), promptSize
+		r.Path, r.Timeout, r.PromptID, r.PromptTokens = "/brief/1", streamWait, fmt.Sprintf("%x", id), promptTokens
 	case 1:
 		r.Path = "/ping/1"
 	default:
-		r.Path, a.once = "/log/1", true
+		r.Path, a.nonIdempotent = "/log/1", true
 	}
 	return r, a
 }
 
-// askFatal makes a request one that ends whoever runs it.
-func askFatal(r *standin.Request, a *asked, path, body string) {
-	r.Path, r.Body, r.Key, a.key = path, body, keptKey, keptKey
-	a.once = path == "/log/1"
+// makeFatal turns a request into a fatal one, which crashes every endpoint that runs it.
+func makeFatal(r *standin.Request, a *call, path, body string) {
+	r.Path, r.Body, r.Key, a.key = path, body, permanentKey, permanentKey
+	a.nonIdempotent = path == "/log/1"
 	if path == "/brief/1" {
-		r.Timeout, r.PromptID, r.PromptTokens = streamWait, "fa7a1", promptSize
+		r.Timeout, r.PromptID, r.PromptTokens = streamWait, "fa7a1", promptTokens
 	}
 }
 
-// connect takes the open connection, or opens one to a process at random.
+// connect reuses the open connection, or opens one to a random process. It returns false if that
+// fails.
 func (c *caller) connect(ctx context.Context) bool {
 	if c.conn != nil {
 		return true
@@ -160,8 +163,8 @@
 	const connectTimeout = time.Second
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	c.at = c.rnd.IntN(len(c.soak.world.processes))
-	conn, err := standin.Connect(ctx, dial, c.soak.world.processes[c.at].callers)
+	c.processIndex = c.rnd.IntN(len(c.soak.env.processes))
+	conn, err := standin.Connect(ctx, dial, c.soak.env.processes[c.processIndex].callersAddress)
 	if err != nil {
 		return false
 	}
@@ -169,8 +172,8 @@
 	return true
 }
 
-// whole tells what is wrong with a stream's events; empty when nothing is.
-func whole(a *standin.Answer, prompt string) string {
+// streamDefect describes what is wrong with a stream's events; empty if nothing is.
+func streamDefect(a *standin.Answer, prompt string) string {
 	for i, e := range a.Events {
 		if e.ID != i+1 {
 			return fmt.Sprintf("event %d has number %d", i+1, e.ID)
@@ -179,14 +182,15 @@
 			return fmt.Sprintf("event %d is %q, not %q", i+1, e.Data, want)
 		}
 	}
-	if a.Complete && len(a.Events) != streamSize {
+	if a.Complete && len(a.Events) != eventsPerStream {
 		return fmt.Sprintf("a stream that ended as whole has %d events", len(a.Events))
 	}
 	return ""
 }
 
-// refusedAsNotRun tells whether an answer promises that the request has not run.
-func refusedAsNotRun(a *standin.Answer) bool {
+// guaranteesNotRun reports whether an answer guarantees that the request has not run. Only some
+// statuses do, and only without an endpoint's signature.
+func guaranteesNotRun(a *standin.Answer) bool {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return !strings.HasPrefix(a.Signature, "signed-by-")
--- a/cli/soak/doc.go
+++ b/cli/soak/doc.go
@@ -1,16 +1,18 @@
-// Package soak runs the real daemon as separate processes before stand-ins, injects faults from outside
-// them, at random from a seed, and checks while it runs what callers and endpoints see.
+// Package soak runs the real daemon as separate processes against stand-ins of the platform. It injects
+// random faults from outside the processes and checks what callers and endpoints see. A seed determines the
+// faults.
 //
-// Promises checked: a stream has every event once, of one request; an answer is whole and belongs to its
-// request, or is visibly broken; a request that must not be repeated runs once at the most; one that was
-// refused as not run has not run and does not run later; a key that was taken away is not served beyond its
-// bound; each request ends within its time; when the faults are over, all is served again.
+// It checks these guarantees: a stream has every event once, and all of one request; an answer is whole and
+// belongs to its request, or is visibly broken; a request that is not idempotent runs once at most; a request
+// that was refused as not run has not run and does not run later; a revoked key is not served beyond its time
+// bound; each request ends within its timeout; when the faults are over, everything is served again.
 //
-// Faults: connections that are delayed, reset, silenced or cut one way by a proxy on the loopback address;
-// processes that are paused, killed, stopped, told to read their settings, and started again; a store that is
-// down, silent or slow, forgets its history or loses answers; endpoints that refuse, fail, lose answers,
-// break off, crash and leave; keys that come and go. They come in series and overlap.
+// Faults of connections: a proxy on the loopback address delays, resets or drops them, in one direction or
+// both. Faults of processes: they are paused, killed, stopped, restarted, or told to reload their settings.
+// Faults of the store: it is down, silent or slow, forgets its history, or loses answers. Faults of endpoints:
+// they refuse, fail, lose answers, break off, crash, or leave. Keys, routes and builds change as well. Faults
+// follow each other quickly and overlap.
 //
-// The order of events between processes is the machine's, so a seed repeats the faults and the load, not
-// each interleaving. Only processes that it started are ended, by their ids.
+// The operating system decides the order of events between processes. A seed therefore repeats the faults and
+// the load, but not each interleaving. The package ends only processes that it started, by their ids.
 package soak
--- a/cli/soak/faults.go
+++ b/cli/soak/faults.go
@@ -12,23 +12,25 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// fault begins something, and returns what it is and how it ends; nil where it ends by itself.
-type fault func(w *world, r *rand.Rand) (what string, end func())
+// fault starts a fault. It returns a description and the function that ends it, which is nil if the
+// fault ends by itself.
+type fault func(w *environment, r *rand.Rand) (what string, end func())
 
-// faults are all faults by their names.
+// faults holds all faults by name.
 var faults = map[string]fault{
-	"new-key": newKey, "new-route": newRoute, "routes-in-a-row": routesInARow, "reread": reread, "bad-build": badBuild,
-	"worker-link": workerLink, "worker-fails": workerFails, "crash": crash, "data-centre": dataCentre, "leave": leave,
-	"answers-lost": answersLost, "used-again": usedAgain, "fatal-request": fatalRequest,
+	"new-key": newKey, "new-route": newRoute, "routes-in-a-row": routesInARow, "reread": reloadSettings, "bad-build": badBuild,
+	"worker-link": workerLink, "worker-fails": workerFails, "crash": crash, "data-centre": crashDataCentre, "leave": leave,
+	"answers-lost": loseAnswers, "used-again": reuseAddress, "fatal-request": fatalRequest,
 	"pause": pause, "kill": kill, "kill-all": killAll, "stop": stop, "stop-in-a-row": stopInARow,
-	"store-link": storeLink, "store-outage": storeOutage, "store-slow": storeSlow, "store-forgets": storeForgets,
-	"store-loses": storeLoses, "key-goes-unheard": storeAwayWhileKeyGoes,
+	"store-link": storeLink, "store-outage": storeOutage, "store-slow": storeSlow, "store-forgets": storeForgetsHistory,
+	"store-loses": storeLosesAnswers, "key-goes-unheard": revokeKeyDuringOutage,
 }
 
-// Names of faults by what they harm; one that is named twice is twice as frequent. Changes that the operator makes belong to all.
+// Names of faults by what they disrupt. A name that is listed twice is drawn twice as often. The
+// changes that an operator makes are added to each kind.
 var (
-	changes        = []string{"new-key", "new-key", "new-route", "new-route", "routes-in-a-row", "reread", "bad-build", "bad-build"}
-	endpointFaults = []string{
+	operatorChanges = []string{"new-key", "new-key", "new-route", "new-route", "routes-in-a-row", "reread", "bad-build", "bad-build"}
+	endpointFaults  = []string{
 		"worker-link", "worker-link", "worker-fails", "worker-fails", "crash", "crash", "data-centre", "leave", "leave",
 		"answers-lost", "answers-lost", "used-again", "fatal-request", "fatal-request",
 	}
@@ -38,19 +40,20 @@
 	}
 )
 
-// faultsOf returns the names of the faults of a seed, at equal odds. Every second seed has all of them. The others have those of
-// one kind, so that promises with a time bound are checked that the other kinds excuse: a leaving endpoint is known
-// in time only where the store answers.
-func faultsOf(seed uint64) []string {
+// faultNamesForSeed returns the names from which the faults of a seed are drawn with equal
+// probability. Odd seeds have all of them. Even seeds have those of one kind, because a guarantee
+// with a time bound isn't checked while another kind of fault excuses its breach: instances learn
+// in time that an endpoint is leaving only if the store answers.
+func faultNamesForSeed(seed uint64) []string {
 	kinds := [][]string{endpointFaults, processFaults, storeFaults}
 	if seed%2 == 1 {
-		return slices.Concat(append(kinds, changes)...)
+		return slices.Concat(append(kinds, operatorChanges)...)
 	}
-	return slices.Concat(kinds[seed/2%uint64(len(kinds))], changes)
+	return slices.Concat(kinds[seed/2%uint64(len(kinds))], operatorChanges)
 }
 
-// checkNames reports a name that no fault has.
-func checkNames(names []string) error {
+// checkFaultNames returns an error for a name that no fault has.
+func checkFaultNames(names []string) error {
 	for _, n := range names {
 		if faults[n] == nil {
 			return fmt.Errorf("no fault %q; there are %s", n, strings.Join(slices.Sorted(maps.Keys(faults)), ", "))
@@ -61,90 +64,90 @@
 
 var linkModes = []mode{delayed, reset, silent, oneWay}
 
-// storeLink harms the connection of an instance to the store.
-func storeLink(w *world, r *rand.Rand) (string, func()) {
+// storeLink disrupts the connections of an instance to the store.
+func storeLink(w *environment, r *rand.Rand) (string, func()) {
 	i, m := r.IntN(len(w.proxies)), linkModes[r.IntN(len(linkModes))]
-	end := w.harms.begin(w.processes[i].name)
+	end := w.disruptions.start(w.processes[i].name)
 	w.proxies[i].set(m)
-	return fmt.Sprintf("the store's link to front-%d %v", i, m), func() { w.proxies[i].set(pass); end() }
+	return fmt.Sprintf("the store's link to front-%d %v", i, m), func() { w.proxies[i].set(passThrough); end() }
 }
 
-// workerLink harms the connections to a worker.
-func workerLink(w *world, r *rand.Rand) (string, func()) {
+// workerLink disrupts the connections to a worker.
+func workerLink(w *environment, r *rand.Rand) (string, func()) {
 	k, m := w.workers[r.IntN(len(w.workers))], linkModes[r.IntN(len(linkModes))]
-	end := w.harms.begin(k.name)
+	end := w.disruptions.start(k.name)
 	k.proxy.set(m)
-	return fmt.Sprintf("the link to %s %v", k.name, m), func() { k.proxy.set(pass); end() }
+	return fmt.Sprintf("the link to %s %v", k.name, m), func() { k.proxy.set(passThrough); end() }
 }
 
-func anyProcess(w *world, r *rand.Rand) *process { return w.processes[r.IntN(len(w.processes))] }
+func anyProcess(w *environment, r *rand.Rand) *process { return w.processes[r.IntN(len(w.processes))] }
 
-func pause(w *world, r *rand.Rand) (string, func()) {
+func pause(w *environment, r *rand.Rand) (string, func()) {
 	p := anyProcess(w, r)
-	end := w.harms.begin(p.name)
+	end := w.disruptions.start(p.name)
 	p.signal(syscall.SIGSTOP)
 	return p.name + " pauses", func() { p.signal(syscall.SIGCONT); end() }
 }
 
-func kill(w *world, r *rand.Rand) (string, func()) {
+func kill(w *environment, r *rand.Rand) (string, func()) {
 	p := anyProcess(w, r)
 	p.kill()
 	return p.name + " is killed", nil
 }
 
-func stop(w *world, r *rand.Rand) (string, func()) {
+func stop(w *environment, r *rand.Rand) (string, func()) {
 	p := anyProcess(w, r)
 	p.terminate()
 	return p.name + " is stopped", nil
 }
 
-func reread(w *world, r *rand.Rand) (string, func()) {
+func reloadSettings(w *environment, r *rand.Rand) (string, func()) {
 	p := anyProcess(w, r)
 	p.signal(syscall.SIGHUP)
 	return p.name + " reads its settings", nil
 }
 
-func storeOutage(w *world, r *rand.Rand) (string, func()) {
+func storeOutage(w *environment, r *rand.Rand) (string, func()) {
 	all := []standin.Outage{standin.Busy, standin.TooMany, standin.Reset, standin.Silent}
 	o := all[r.IntN(len(all))]
-	return "the store is away: " + string(o), w.harmStore(standin.Fault{Outage: o})
+	return "the store is away: " + string(o), w.disruptStore(standin.Fault{Outage: o})
 }
 
-func storeSlow(w *world, r *rand.Rand) (string, func()) {
-	return "the store is slow", w.harmStore(standin.Fault{SlowMS: 100 + r.IntN(300)})
+func storeSlow(w *environment, r *rand.Rand) (string, func()) {
+	return "the store is slow", w.disruptStore(standin.Fault{SlowMS: 100 + r.IntN(300)})
 }
 
-func storeForgets(w *world, _ *rand.Rand) (string, func()) {
-	w.harms.moment(theStore)
+func storeForgetsHistory(w *environment, _ *rand.Rand) (string, func()) {
+	w.disruptions.recordInstant(storeSubject)
 	w.store.ForgetHistory()
 	return "the store forgets its history", nil
 }
 
-func storeLoses(w *world, r *rand.Rand) (string, func()) {
-	return "the store loses answers", w.harmStore(standin.Fault{LoseWrites: 1 + r.IntN(3), LostWriteDelayMS: r.IntN(1000)})
+func storeLosesAnswers(w *environment, r *rand.Rand) (string, func()) {
+	return "the store loses answers", w.disruptStore(standin.Fault{LoseWrites: 1 + r.IntN(3), LostWriteDelayMS: r.IntN(1000)})
 }
 
-func workerFails(w *world, r *rand.Rand) (string, func()) {
+func workerFails(w *environment, r *rand.Rand) (string, func()) {
 	all := map[string]standin.WorkerFault{
 		"refuses": {RefuseAll: true}, "fails": {FailAll: true}, "loses answers": {LoseAnswer: true}, "breaks off": {Truncate: true},
 		"sends more than was asked for": {ExtraAnswer: true}, "hangs": {Hang: true},
 	}
 	names := []string{"refuses", "fails", "loses answers", "breaks off", "sends more than was asked for", "hangs"}
 	k, how := w.workers[r.IntN(len(w.workers))], names[r.IntN(len(names))]
-	end := w.harms.begin(k.name)
+	end := w.disruptions.start(k.name)
 	k.setFault(all[how])
 	return k.name + " " + how, func() { k.setFault(standin.WorkerFault{}); end() }
 }
 
-func crash(w *world, r *rand.Rand) (string, func()) {
+func crash(w *environment, r *rand.Rand) (string, func()) {
 	k := w.workers[r.IntN(len(w.workers))]
 	k.crash(time.Duration(200+r.IntN(1500)) * time.Millisecond)
 	return k.name + " crashes", nil
 }
 
-// dataCentre loses all engines of a data centre at once.
-func dataCentre(w *world, r *rand.Rand) (string, func()) {
-	at := zone(r.IntN(dataCentres))
+// crashDataCentre crashes all engines of a data centre at once.
+func crashDataCentre(w *environment, r *rand.Rand) (string, func()) {
+	at := dataCentreName(r.IntN(dataCentres))
 	down := time.Duration(500+r.IntN(1000)) * time.Millisecond
 	for _, k := range w.workers {
 		if k.config.DataCentre == at && k.config.PrefillTokensPerMS > 0 {
@@ -154,21 +157,21 @@
 	return "the engines of " + at + " crash", nil
 }
 
-func leave(w *world, r *rand.Rand) (string, func()) {
+func leave(w *environment, r *rand.Rand) (string, func()) {
 	k := w.workers[r.IntN(len(w.workers))]
 	k.leave()
 	return k.name + " leaves", nil
 }
 
-func newKey(w *world, _ *rand.Rand) (string, func()) {
-	w.newKey()
-	now, _ := w.lastKeys()
-	return now + " replaces the key before", nil
+func newKey(w *environment, _ *rand.Rand) (string, func()) {
+	w.replaceKey()
+	key, _ := w.latestKeys()
+	return key + " replaces the key before", nil
 }
 
-// answersLost makes all plain endpoints run requests and lose their answers: who sends one again runs it
-// twice.
-func answersLost(w *world, _ *rand.Rand) (string, func()) {
+// loseAnswers makes all plain endpoints run requests and lose their answers. An instance that sends
+// such a request again runs it twice.
+func loseAnswers(w *environment, _ *rand.Rand) (string, func()) {
 	set := func(f standin.WorkerFault) {
 		for _, k := range w.workers {
 			if k.config.PrefillTokensPerMS == 0 {
@@ -180,34 +183,37 @@
 	return "all plain endpoints lose answers", func() { set(standin.WorkerFault{}) }
 }
 
-// awayFor is how long the store is away around a key that is taken away: longer than a key may be served.
-const awayFor = revokeBound + 2*time.Second
+// revocationOutage is how long the store is unavailable around the revocation of a key: longer than
+// a revoked key may still be served.
+const revocationOutage = revokeBound + 2*time.Second
 
-// storeAwayWhileKeyGoes takes a key away while no instance can hear of it.
-func storeAwayWhileKeyGoes(w *world, _ *rand.Rand) (string, func()) {
-	end := w.harmStore(standin.Fault{Outage: standin.Reset})
-	time.AfterFunc(500*time.Millisecond, w.newKey)
-	time.AfterFunc(awayFor, end)
+// revokeKeyDuringOutage revokes a key while the store is unavailable and no instance can learn of
+// it.
+func revokeKeyDuringOutage(w *environment, _ *rand.Rand) (string, func()) {
+	end := w.disruptStore(standin.Fault{Outage: standin.Reset})
+	time.AfterFunc(500*time.Millisecond, w.replaceKey)
+	time.AfterFunc(revocationOutage, end)
 	return "the store is away while a key goes", nil
 }
 
-// newRoute sends a configuration with a route that the one before did not have, in place of the route that it had.
-func newRoute(w *world, _ *rand.Rand) (string, func()) {
-	return fmt.Sprintf("version %d brings a route and takes one away", w.newRoute()), nil
+// newRoute publishes a configuration with a new route that replaces the one of an earlier version.
+func newRoute(w *environment, _ *rand.Rand) (string, func()) {
+	return fmt.Sprintf("version %d brings a route and takes one away", w.replaceRoute()), nil
 }
 
-// routesInARow sends configurations in quick succession.
-func routesInARow(w *world, r *rand.Rand) (string, func()) {
+// routesInARow publishes configurations in quick succession.
+func routesInARow(w *environment, r *rand.Rand) (string, func()) {
 	n := 3 + r.IntN(5)
 	for range n {
-		w.newRoute()
+		w.replaceRoute()
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 	}
 	return fmt.Sprintf("%d configurations in a row", n), nil
 }
 
-// stopInARow stops half of the processes one after the other, each while the one before still ends.
-func stopInARow(w *world, _ *rand.Rand) (string, func()) {
+// stopInARow stops half of the processes one after the other, 800 ms apart, so that shutdowns can
+// overlap.
+func stopInARow(w *environment, _ *rand.Rand) (string, func()) {
 	for i, p := range w.processes {
 		if i%2 == 0 {
 			time.AfterFunc(time.Duration(i)*400*time.Millisecond, p.terminate)
@@ -216,18 +222,18 @@
 	return "half of the processes are stopped in a row", nil
 }
 
-// killAll kills all processes at the same moment.
-func killAll(w *world, _ *rand.Rand) (string, func()) {
+// killAll kills all processes at once.
+func killAll(w *environment, _ *rand.Rand) (string, func()) {
 	for _, p := range w.processes {
 		p.kill()
 	}
 	return "all processes are killed", nil
 }
 
-// usedAgain lets a worker crash, and its address be used by a worker of another service.
-func usedAgain(w *world, r *rand.Rand) (string, func()) {
+// reuseAddress crashes a worker and gives its address to a worker of another service.
+func reuseAddress(w *environment, r *rand.Rand) (string, func()) {
 	k := w.workers[r.IntN(len(w.workers))]
-	if !k.replace(time.Duration(800+r.IntN(1500)) * time.Millisecond) {
+	if !k.replaceWithForeign(time.Duration(800+r.IntN(1500)) * time.Millisecond) {
 		return k.name + " stays", nil
 	}
 	return "the address of " + k.name + " is used by another service", nil
--- a/cli/soak/process.go
+++ b/cli/soak/process.go
@@ -14,49 +14,50 @@
 	"time"
 )
 
-// process is one instance of the daemon. It is started again whenever it ends.
+// process is one instance of the daemon. It is restarted whenever it ends.
 type process struct {
-	name, program, settings, log string
-	callers, ready, directory    string
-	harms                        *harms
+	name, program, settingsPath, logPath           string
+	callersAddress, readyAddress, directoryAddress string
+	disruptions                                    *disruptions
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	starts  int
 	closing bool
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// restartAfter is the pause before a process that ended is started again.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is the pause before a process that ended is restarted.
+const restartDelay = 300 * time.Millisecond
 
-// Ports that the system does not give to outgoing connections: an instance that starts again needs the port it had.
-// Soaks that run side by side take their ports from different parts of them, by their process ids.
+// Ports below the range that the system assigns to outgoing connections: a restarted instance needs
+// the port that it had. Soaks that run side by side use different parts of the range, chosen by
+// process id.
 const (
-	portFrom  = 12000
-	portTo    = 32000
-	portParts = 10
-	portsEach = (portTo - portFrom) / portParts
+	firstPort    = 12000
+	endPort      = 32000
+	portParts    = 10
+	portsPerPart = (endPort - firstPort) / portParts
 )
 
-// ports gives out addresses on the loopback interface, each once: between the look whether a port is free and the
-// start of the process that is to have it, it is free to be drawn again.
-type ports struct{ given map[int]bool }
+// portAllocator allocates addresses on the loopback interface and returns each only once. A port
+// that was found free stays free until its process starts, so it could be drawn again.
+type portAllocator struct{ allocated map[int]bool }
 
-// take returns n free addresses.
-func (p *ports) take(n int) ([]string, error) {
-	if p.given == nil {
-		p.given = map[int]bool{}
+// allocate returns n free addresses, or an error if it finds too few.
+func (p *portAllocator) allocate(n int) ([]string, error) {
+	if p.allocated == nil {
+		p.allocated = map[int]bool{}
 	}
 	var out []string
-	from := portFrom + os.Getpid()%portParts*portsEach
-	for tries := 0; len(out) < n && tries < 4*portsEach; tries++ {
-		port := from + rand.IntN(portsEach)
+	from := firstPort + os.Getpid()%portParts*portsPerPart
+	for tries := 0; len(out) < n && tries < 4*portsPerPart; tries++ {
+		port := from + rand.IntN(portsPerPart)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if p.given[port] || !free(address) {
+		if p.allocated[port] || !isFree(address) {
 			continue
 		}
-		p.given[port] = true
+		p.allocated[port] = true
 		out = append(out, address)
 	}
 	if len(out) < n {
@@ -65,7 +66,7 @@
 	return out, nil
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -73,19 +74,19 @@
 	return l.Close() == nil
 }
 
-// newProcess writes the settings of an instance.
-func newProcess(dir, program, store string, i int, free *ports, h *harms, o *Options) (*process, error) {
-	const addresses = 4
-	at, err := free.take(addresses)
+// newProcess writes the settings file of instance i and doesn't start it.
+func newProcess(dir, program, store string, i int, allocator *portAllocator, h *disruptions, o *Options) (*process, error) {
+	const addressCount = 4
+	addresses, err := allocator.allocate(addressCount)
 	if err != nil {
 		return nil, err
 	}
 	p := &process{
-		name: fmt.Sprint("front-", i), program: program, callers: at[0], ready: at[1], directory: at[2],
-		settings: filepath.Join(dir, fmt.Sprintf("front-%d.ini", i)), log: filepath.Join(dir, fmt.Sprintf("front-%d.log", i)),
-		ended: make(chan struct{}), harms: h,
+		name: fmt.Sprint("front-", i), program: program, callersAddress: addresses[0], readyAddress: addresses[1], directoryAddress: addresses[2],
+		settingsPath: filepath.Join(dir, fmt.Sprintf("front-%d.ini", i)), logPath: filepath.Join(dir, fmt.Sprintf("front-%d.log", i)),
+		done: make(chan struct{}), disruptions: h,
 	}
-	text := fmt.Sprintf(`[instance]
+	settings := fmt.Sprintf(`[instance]
 id = %s
 data_centre = dc%d
 region = r
@@ -105,42 +106,42 @@
 [rollouts]
 share = 0.1
 reserve = 50
-`, p.name, i%dataCentres, at[0], at[1], at[2], at[3], store, revokeBound, o.Grace)
-	if len(o.Without) > 0 {
-		text += "[mechanisms]\n" + strings.Join(o.Without, " = false\n") + " = false\n"
+`, p.name, i%dataCentres, addresses[0], addresses[1], addresses[2], addresses[3], store, revokeBound, o.ShutdownGrace)
+	if len(o.DisabledMechanisms) > 0 {
+		settings += "[mechanisms]\n" + strings.Join(o.DisabledMechanisms, " = false\n") + " = false\n"
 	}
-	return p, os.WriteFile(p.settings, []byte(text), 0o600)
+	return p, os.WriteFile(p.settingsPath, []byte(settings), 0o600)
 }
 
-// run keeps the process running until stop.
+// run restarts the process whenever it ends, until stop is called.
 func (p *process) run() {
-	defer close(p.ended)
+	defer close(p.done)
 	for p.start() {
-		_ = p.cmd.Wait() // however it ended
-		time.Sleep(restartAfter)
+		_ = p.cmd.Wait() // any exit status is fine
+		time.Sleep(restartDelay)
 	}
 }
 
-// start starts the process, unless the soak ends.
+// start starts the process. It returns false if the soak is ending or the start failed.
 func (p *process) start() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closing {
 		return false
 	}
-	out, err := os.OpenFile(p.log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logPath, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return false
 	}
-	p.cmd = exec.Command(p.program, "front", "--config", p.settings)
+	p.cmd = exec.Command(p.program, "front", "--config", p.settingsPath)
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	p.starts++
 	err = p.cmd.Start()
-	_ = out.Close() // the process has its own
+	_ = out.Close() // the process has its own descriptor
 	return err == nil
 }
 
-// signal sends a signal to the process as it runs now.
+// signal sends a signal to the process that runs now, if any.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,21 +150,22 @@
 	}
 }
 
-// kill ends the process as a kill does; it starts again.
+// kill sends SIGKILL. The process is then restarted.
 func (p *process) kill() {
-	p.harms.moment(p.name)
+	p.disruptions.recordInstant(p.name)
 	p.signal(syscall.SIGKILL)
 }
 
-// terminate asks the process to end; it starts again. That is no harm: what is in progress has to end well.
+// terminate sends SIGTERM. The process is then restarted. This is no disruption: requests in
+// progress have to complete.
 func (p *process) terminate() { p.signal(syscall.SIGTERM) }
 
-// stop ends the process for good.
+// stop ends the process and doesn't restart it. It returns when the process has ended.
 func (p *process) stop() {
 	p.mu.Lock()
 	p.closing = true
 	p.mu.Unlock()
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.done
 }
--- a/cli/soak/proxy.go
+++ b/cli/soak/proxy.go
@@ -12,58 +12,59 @@
 type mode int
 
 const (
-	pass    mode = iota
-	delayed      // what goes through is late
-	reset        // connections are closed, also new ones
-	silent       // nothing goes through, either way
-	oneWay       // what the server sends does not go through
+	passThrough mode = iota
+	delayed          // data is forwarded late
+	reset            // open and new connections are reset
+	silent           // data is dropped in both directions
+	oneWay           // data from the server is dropped
 )
 
 func (m mode) String() string {
 	return [...]string{"passes", "delays", "resets", "is silent", "is cut one way"}[m]
 }
 
-// delay is how late a delayed proxy is.
-const delay = 60 * time.Millisecond
+// meanDelay is the mean delay of each forwarded chunk in the mode delayed. The delay is uniform
+// between half and one and a half of it.
+const meanDelay = 60 * time.Millisecond
 
-// proxy stands between callers and a server on the loopback address.
+// proxy forwards connections on the loopback address to a server.
 type proxy struct {
-	at       string
-	mu       sync.Mutex
-	listener net.Listener
-	closed   bool
-	server   string
-	mode     mode
-	conns    map[net.Conn]bool
+	listenAddress string
+	mu            sync.Mutex
+	listener      net.Listener
+	closed        bool
+	server        string
+	mode          mode
+	conns         map[net.Conn]bool
 }
 
-// newProxy listens; the server may be set later.
+// newProxy starts a proxy. The server may be empty and set later by setServer.
 func newProxy(server string) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	p := &proxy{listener: l, server: server, conns: map[net.Conn]bool{}}
-	p.at = l.Addr().String()
-	go p.run(l)
+	p.listenAddress = l.Addr().String()
+	go p.accept(l)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.at }
+func (p *proxy) address() string { return p.listenAddress }
 
-// refuse closes all connections and refuses new ones, as the machine of a process does that has ended.
+// refuse resets all connections and refuses new ones, as a machine does whose process has ended.
 func (p *proxy) refuse() {
 	p.mu.Lock()
 	_ = p.listener.Close()
 	p.mu.Unlock()
-	before, _ := p.now()
+	previous, _ := p.current()
 	p.set(reset)
-	p.set(before)
+	p.set(previous)
 }
 
-// listen takes connections again.
-func (p *proxy) listen() error {
-	l, err := net.Listen("tcp", p.at)
+// relisten accepts connections again, at the same address.
+func (p *proxy) relisten() error {
+	l, err := net.Listen("tcp", p.listenAddress)
 	if err != nil {
 		return err
 	}
@@ -72,13 +73,13 @@
 	if p.closed {
 		return l.Close()
 	}
-	_ = p.listener.Close() // it may be one that listens
+	_ = p.listener.Close() // it may still be listening
 	p.listener = l
-	go p.run(l)
+	go p.accept(l)
 	return nil
 }
 
-func (p *proxy) run(l net.Listener) {
+func (p *proxy) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -88,14 +89,14 @@
 	}
 }
 
-// set changes the mode. Open connections are closed by a reset, and may be by the end of silence: a
-// connection that lost bytes is of no use any more.
+// set changes the mode. Open connections are reset by the mode reset, and by the end of silent and
+// oneWay, since they may have lost data.
 func (p *proxy) set(m mode) {
 	p.mu.Lock()
-	before := p.mode
+	previous := p.mode
 	p.mode = m
 	var closed []net.Conn
-	if m == reset || before == silent || before == oneWay {
+	if m == reset || previous == silent || previous == oneWay {
 		for c := range p.conns {
 			closed = append(closed, c)
 		}
@@ -114,19 +115,19 @@
 	_ = c.Close()
 }
 
-func (p *proxy) now() (mode, string) {
+func (p *proxy) current() (mode, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.server
 }
 
-func (p *proxy) point(server string) {
+func (p *proxy) setServer(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.server = server
 }
 
-func (p *proxy) hold(c net.Conn, open bool) {
+func (p *proxy) track(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
@@ -137,28 +138,28 @@
 }
 
 func (p *proxy) serve(caller net.Conn) {
-	m, server := p.now()
+	m, server := p.current()
 	if m == reset {
 		abort(caller)
 		return
 	}
-	p.hold(caller, true)
-	defer p.hold(caller, false)
+	p.track(caller, true)
+	defer p.track(caller, false)
 	backend, err := net.Dial("tcp", server)
 	if err != nil {
 		abort(caller)
 		return
 	}
-	p.hold(backend, true)
-	defer p.hold(backend, false)
+	p.track(backend, true)
+	defer p.track(backend, false)
 	var wg sync.WaitGroup
 	wg.Go(func() { p.copy(backend, caller, false) })
 	wg.Go(func() { p.copy(caller, backend, true) })
 	wg.Wait()
 }
 
-// copy moves bytes until either side ends; answers tells the direction.
-func (p *proxy) copy(to, from net.Conn, answers bool) {
+// copy forwards data until either side ends; toCaller is true for data from the server.
+func (p *proxy) copy(to, from net.Conn, toCaller bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -171,11 +172,11 @@
 			_ = from.Close()
 			return
 		}
-		switch m, _ := p.now(); {
-		case m == silent, m == oneWay && answers:
-			continue // lost on the way
+		switch m, _ := p.current(); {
+		case m == silent, m == oneWay && toCaller:
+			continue // dropped
 		case m == delayed:
-			time.Sleep(delay/2 + rand.N(delay))
+			time.Sleep(meanDelay/2 + rand.N(meanDelay))
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
 			abort(from)
--- a/cli/soak/report.go
+++ b/cli/soak/report.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles sum up a histogram, in milliseconds.
+// Quantiles summarize a histogram, in milliseconds; N is the number of values.
 type Quantiles struct {
 	N   int64 `json:"n"`
 	P50 int64 `json:"p50"`
@@ -18,7 +18,7 @@
 	Max int64 `json:"max"`
 }
 
-// Second is what callers saw in one second.
+// Second counts the outcomes of the requests that ended in one second of the soak.
 type Second struct {
 	At      int `json:"at"`
 	Served  int `json:"served"`
@@ -26,13 +26,13 @@
 	Unknown int `json:"unknown"`
 }
 
-// Moment is a fault and when it began, in seconds.
+// Moment is a fault and when it started, in seconds since the start of the soak.
 type Moment struct {
 	At   float64 `json:"at"`
 	What string  `json:"what"`
 }
 
-// Report is a result with its figures.
+// Report is a result with its measurements.
 type Report struct {
 	Seed uint64 `json:"seed"`
 	Result
@@ -43,19 +43,20 @@
 	Moments      []Moment  `json:"moments"`
 }
 
-// figures collect what is measured while a soak runs. Guarded by the soak's mutex.
-type figures struct {
+// measurements collects what is measured while a soak runs. It is guarded by the soak's mutex.
+type measurements struct {
 	firstEvent, longestPause, plain *hdrhistogram.Histogram
 	seconds                         []Second
 	moments                         []Moment
 }
 
-// histogramMost is the longest time that a histogram holds, in milliseconds.
-const histogramMost = 60_000
+// maxRecordedMS is the longest time that a histogram holds, in milliseconds. Longer times are
+// recorded as this one.
+const maxRecordedMS = 60_000
 
-func newFigures() figures {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMost, 3) }
-	return figures{firstEvent: h(), longestPause: h(), plain: h()}
+func newMeasurements() measurements {
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedMS, 3) }
+	return measurements{firstEvent: h(), longestPause: h(), plain: h()}
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -63,11 +64,12 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), 1), histogramMost)) // always within its range
+	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxRecordedMS)) // the value is within the range of the histogram
 }
 
-// second returns the figures of the second in which something ended.
-func (f *figures) second(since time.Duration) *Second {
+// second returns the counts of the second that contains a time, which is given since the start of
+// the soak.
+func (f *measurements) second(since time.Duration) *Second {
 	at := int(since.Seconds())
 	for len(f.seconds) <= at {
 		f.seconds = append(f.seconds, Second{At: len(f.seconds)})
@@ -75,14 +77,14 @@
 	return &f.seconds[at]
 }
 
-func (f *figures) report(seed uint64, r Result) Report {
+func (f *measurements) report(seed uint64, r Result) Report {
 	return Report{
 		Seed: seed, Result: r, FirstEvent: quantiles(f.firstEvent), LongestPause: quantiles(f.longestPause), Plain: quantiles(f.plain),
 		Seconds: f.seconds, Moments: f.moments,
 	}
 }
 
-// WriteJSON writes the report as JSON.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -95,13 +97,13 @@
 	barHeight = 160
 )
 
-// WritePage writes the report as a page with a plot of what callers saw each second.
+// WritePage writes the report as an HTML page with a plot of the outcomes in each second.
 func (r *Report) WritePage(w io.Writer) error {
-	most := 1
+	maxRequests := 1
 	for _, s := range r.Seconds {
-		most = max(most, s.Served+s.Refused+s.Unknown)
+		maxRequests = max(maxRequests, s.Served+s.Refused+s.Unknown)
 	}
-	scale := func(n int) int { return n * barHeight / most }
+	scale := func(n int) int { return n * barHeight / maxRequests }
 	t, err := template.New("page").Funcs(template.FuncMap{
 		"x": func(at int) int { return at * barWidth }, "h": scale,
 		"y": func(above ...int) int {
--- a/cli/soak/rollouts.go
+++ b/cli/soak/rollouts.go
@@ -12,63 +12,67 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// Bounds on a build that turns out bad, as the daemons have them in their settings.
+// Bounds on the exposure of a bad build; the daemons have the same values in their settings.
 const (
-	exposeShare   = 0.1
-	exposeReserve = 50
-	rollBack      = 5 * time.Second
-	// rolloutWithin is the time that an order leaves.
-	rolloutWithin = 8 * time.Second
-	// badMost is how many bad answers begin the time within which the build has to be left.
-	badMost = 50
-	// nextBuild is the build that is ordered.
-	nextBuild = "v2"
-	ordered   = "plain"
+	maxExposedShare = 0.1
+	exposedReserve  = 50
+	rollBackWithin  = 5 * time.Second
+	// rolloutDuration is the time that an order gives the rollout to complete.
+	rolloutDuration = 8 * time.Second
+	// badAnswersBeforeRollBack is the number of bad answers after which the build has to be rolled
+	// back within rollBackWithin.
+	badAnswersBeforeRollBack = 50
+	// badBuildName is the target build of the orders, and rolloutService is their service.
+	badBuildName   = "v2"
+	rolloutService = "plain"
 )
 
-// rolloutOrder is an order to move the plain service to a bad build, of which there is one at a time.
+// rolloutOrder is an order to move the plain service to a bad build. A soak has at most one.
 type rolloutOrder struct {
-	given   time.Time
+	givenAt time.Time
 	workers []*standin.Worker
-	// beside are the endpoints in service that they were started alongside.
-	beside []*worker
+	// counterparts are the workers of the current build from which the workers of the bad build
+	// were copied, in the same order.
+	counterparts []*worker
 }
 
 // runs returns what the endpoints of the bad build ran.
-func (o *rolloutOrder) runs() []ran {
-	var out []ran
+func (o *rolloutOrder) runs() []workerRun {
+	var out []workerRun
 	for i, w := range o.workers {
 		for _, r := range w.Runs() {
-			out = append(out, ran{Run: r, worker: o.beside[i]})
+			out = append(out, workerRun{Run: r, worker: o.counterparts[i]})
 		}
 	}
 	return out
 }
 
-// rollouts are the orders of a run.
+// rollouts holds the orders of a soak. started is set by the first order and never reset, so there
+// is at most one.
 type rollouts struct {
-	busy   atomic.Bool
-	orders []*rolloutOrder
+	started atomic.Bool
+	orders  []*rolloutOrder
 }
 
-// badBuild orders that the plain service moves to a build that fails part of its requests, or is slow.
-func badBuild(w *world, r *rand.Rand) (string, func()) {
-	if !w.rollouts.busy.CompareAndSwap(false, true) {
+// badBuild orders a rollout of the plain service to a build that fails part of its requests, or is
+// slow.
+func badBuild(w *environment, r *rand.Rand) (string, func()) {
+	if !w.rollouts.started.CompareAndSwap(false, true) {
 		return "a rollout goes on", nil
 	}
 	faults := []standin.WorkerFault{{AffectedFraction: 0.5, FailAffected: true}, {AffectedFraction: 0.3, FailAffected: true}, {AffectedFraction: 1, SlowFactor: 6}}
 	fault := faults[r.IntN(len(faults))]
-	o := &rolloutOrder{given: time.Now()}
+	o := &rolloutOrder{givenAt: time.Now()}
 	var stops []func()
 	end := func() {
-		w.store.Remove(platform.KindRollout, ordered)
+		w.store.Remove(platform.KindRollout, rolloutService)
 		for i, worker := range o.workers {
 			w.store.Remove(platform.KindEndpoint, worker.Config().ID)
 			stops[i]()
 		}
 	}
 	for i, k := range w.workers {
-		if k.config.Service != ordered {
+		if k.config.Service != rolloutService {
 			continue
 		}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,55 +80,56 @@
 			continue // no free port
 		}
 		cfg := k.config
-		cfg.ID, cfg.Build, cfg.Address = fmt.Sprintf("i-next-%d", i), nextBuild, l.Addr().String()
+		cfg.ID, cfg.Build, cfg.Address = fmt.Sprintf("i-next-%d", i), badBuildName, l.Addr().String()
 		worker := w.fleet.NewWorker(cfg)
 		worker.SetFault(fault)
-		o.workers, o.beside, stops = append(o.workers, worker), append(o.beside, k), append(stops, standin.Serve(l, worker))
+		o.workers, o.counterparts, stops = append(o.workers, worker), append(o.counterparts, k), append(stops, standin.Serve(l, worker))
 	}
 	w.mu.Lock()
 	w.rollouts.orders = append(w.rollouts.orders, o)
 	w.mu.Unlock()
-	w.store.PutRollout(ordered, nextBuild, rolloutWithin)
-	go w.beatOrder(o, end)
+	w.store.PutRollout(rolloutService, badBuildName, rolloutDuration)
+	go w.keepRegistered(o, end)
 	return fmt.Sprintf("the plain service is to move to a build of which %.0f in 100 answers are bad", 100*fault.AffectedFraction), nil
 }
 
-// beatOrder keeps the endpoints of an order listed until some time after its deadline.
-func (w *world) beatOrder(o *rolloutOrder, end func()) {
+// keepRegistered keeps the endpoints of an order registered until rollBackWithin after its
+// deadline, or until the environment closes. Then it calls end.
+func (w *environment) keepRegistered(o *rolloutOrder, end func()) {
 	defer end()
-	for time.Since(o.given) < rolloutWithin+rollBack {
+	for time.Since(o.givenAt) < rolloutDuration+rollBackWithin {
 		for _, worker := range o.workers {
 			w.store.Put(platform.KindEndpoint, worker.Config().ID, worker.Registration("ready"))
 		}
 		select {
-		case <-time.After(beat):
+		case <-time.After(heartbeatInterval):
 		case <-w.closed:
 			return
 		}
 	}
 }
 
-// checkRollouts compares what reached bad builds with what may.
+// checkRollouts checks that bad builds got no more requests than allowed, and none too late.
 func (s *soak) checkRollouts() {
-	for _, o := range s.world.ordered() {
+	for _, o := range s.env.rolloutOrders() {
 		s.checkRollout(o)
 	}
 }
 
-// ordered returns the orders of the run.
-func (w *world) ordered() []*rolloutOrder {
+// rolloutOrders returns all orders of the soak.
+func (w *environment) rolloutOrders() []*rolloutOrder {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.rollouts.orders)
 }
 
 func (s *soak) checkRollout(o *rolloutOrder) {
-	deadline := o.given.Add(rolloutWithin)
-	within := func(at time.Time) bool { return at.After(o.given) && at.Before(deadline) }
+	deadline := o.givenAt.Add(rolloutDuration)
+	within := func(at time.Time) bool { return at.After(o.givenAt) && at.Before(deadline) }
 	all, exposed := 0, 0
-	for _, k := range s.world.workers {
+	for _, k := range s.env.workers {
 		for _, r := range k.runs() {
-			if k.config.Service == ordered && within(r.At) {
+			if k.config.Service == rolloutService && within(r.At) {
 				all++
 			}
 		}
@@ -142,11 +147,11 @@
 			last = r.At
 		}
 	}
-	if float64(exposed) > exposeShare*float64(all)+exposeReserve {
-		s.finding("a bad build got %d of %d requests", exposed, all)
+	if float64(exposed) > maxExposedShare*float64(all)+exposedReserve {
+		s.addFinding("a bad build got %d of %d requests", exposed, all)
 	}
 	slices.SortFunc(bad, time.Time.Compare)
-	if len(bad) >= badMost && last.Sub(bad[badMost-1]) > rollBack+margin {
-		s.finding("a bad build got requests %v after its %dth bad answer", last.Sub(bad[badMost-1]), badMost)
+	if len(bad) >= badAnswersBeforeRollBack && last.Sub(bad[badAnswersBeforeRollBack-1]) > rollBackWithin+timingMargin {
+		s.addFinding("a bad build got requests %v after its %dth bad answer", last.Sub(bad[badAnswersBeforeRollBack-1]), badAnswersBeforeRollBack)
 	}
 }
--- a/cli/soak/soak.go
+++ b/cli/soak/soak.go
@@ -13,32 +13,34 @@
 	"github.com/agateway/agateway/platform/standin"
 )
 
-// Options of a soak.
+// Options configures a soak. Instances, Engines, PlainEndpoints and Callers are numbers of them.
 type Options struct {
-	Seed    uint64
-	Length  time.Duration
-	Fronts  int
-	Engines int
-	Plain   int
-	Callers int
-	// Program is the daemon, and Without names mechanisms of it that are switched off: whether the checks notice.
-	Program string
-	Without []string
-	// Only names the faults that are drawn; empty for those of the seed.
-	Only []string
-	// Grace is the time that a process has to end after SIGTERM, Work how long plain requests take.
-	Grace, Work time.Duration
-	// Out takes a line for each fault and finding.
+	Seed           uint64
+	FaultDuration  time.Duration
+	Instances      int
+	Engines        int
+	PlainEndpoints int
+	Callers        int
+	// Program is the path of the daemon. DisabledMechanisms names mechanisms of it that are
+	// switched off, which shows whether the checks notice.
+	Program            string
+	DisabledMechanisms []string
+	// FaultNames lists the faults that are drawn; empty for those of the seed.
+	FaultNames []string
+	// ShutdownGrace is the time that a process has to end after SIGTERM. WorkTime is how long plain
+	// requests take.
+	ShutdownGrace, WorkTime time.Duration
+	// Out receives a line for each fault and finding.
 	Out io.Writer
 }
 
-// Usual times of processes and plain endpoints.
+// Default times of processes and plain endpoints.
 const (
-	DefaultGrace = 4 * time.Second
-	DefaultWork  = 15 * time.Millisecond
+	DefaultShutdownGrace = 4 * time.Second
+	DefaultWorkTime      = 15 * time.Millisecond
 )
 
-// Result is what a soak found.
+// Result holds the counts and findings of a soak.
 type Result struct {
 	Asked   int `json:"asked"`
 	Served  int `json:"served"`
@@ -46,81 +48,86 @@
 	Unknown int `json:"unknown"`
 	Streams int `json:"streams"`
 	Faults  int `json:"faults"`
-	// Findings are promises that were broken.
+	// Findings describe the guarantees that were broken.
 	Findings []string `json:"findings"`
-	// Logs is the folder with the logs of the processes; it is kept when there are findings.
+	// Logs is the directory with the logs of the processes. It is removed if there are no findings.
 	Logs string `json:"logs"`
 }
 
-// soak is one run.
+// soak is one run of the test.
 type soak struct {
 	Options
-	world *world
-	began time.Time
+	env       *environment
+	startedAt time.Time
 
-	mu      sync.Mutex
-	all     map[string]*asked
-	result  Result
-	figures figures
+	mu           sync.Mutex
+	calls        map[string]*call
+	result       Result
+	measurements measurements
 }
 
-// Run runs a soak.
+// Run runs a soak and returns its report. Broken guarantees are findings in the report and no
+// error. It returns an error if a fault name is unknown, or if the environment does not start or
+// become ready.
 func Run(ctx context.Context, o Options) (Report, error) {
-	if err := checkNames(o.Only); err != nil {
+	if err := checkFaultNames(o.FaultNames); err != nil {
 		return Report{}, err
 	}
 	dir, err := os.MkdirTemp("", "agateway-soak-")
 	if err != nil {
 		return Report{}, err
 	}
-	s := &soak{Options: o, began: time.Now(), all: map[string]*asked{}, result: Result{Logs: dir}, figures: newFigures()}
-	if s.world, err = newWorld(dir, o.Program, o); err != nil {
+	s := &soak{Options: o, startedAt: time.Now(), calls: map[string]*call{}, result: Result{Logs: dir}, measurements: newMeasurements()}
+	if s.env, err = newEnvironment(dir, o.Program, o); err != nil {
 		return Report{}, err
 	}
-	defer s.world.close()
+	defer s.env.close()
 	if !s.waitReady(ctx) {
 		return Report{}, fmt.Errorf("the instances did not become ready; logs in %s", dir)
 	}
-	s.play(ctx)
+	s.runLoad(ctx)
 	s.checkRuns()
 	s.checkRollouts()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.result.Findings) == 0 {
-		_ = os.RemoveAll(dir) // what is left there is of no use
+		_ = os.RemoveAll(dir) // files that stay behind do no damage
 	}
-	return s.figures.report(s.Seed, s.result), nil
+	return s.measurements.report(s.Seed, s.result), nil
 }
 
-// Times of a run.
+// Timing and concurrency of a soak.
 const (
-	readyWithin = 10 * time.Second
-	readyStep   = 50 * time.Millisecond
-	// faultsMost is how many faults overlap.
-	faultsMost = 4
-	// calm is the time at the end without new faults: after it all has to be served again.
-	calm = 6 * time.Second
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	// maxOverlappingFaults is how many faults with an end may overlap.
+	maxOverlappingFaults = 4
+	// quietPeriod is the time without new faults at the end. After it everything has to be served
+	// again.
+	quietPeriod = 6 * time.Second
 )
 
-// waitReady waits until all instances say that they are ready.
+// waitReady waits until all instances report that they are ready. It returns false after
+// readyTimeout.
 func (s *soak) waitReady(ctx context.Context) bool {
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyStep) {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		ready := 0
-		for _, p := range s.world.processes {
-			a, err := standin.Do(ctx, dial, p.ready, standin.Request{Method: http.MethodGet, Path: "/ready", Host: "x"})
+		for _, p := range s.env.processes {
+			a, err := standin.Do(ctx, dial, p.readyAddress, standin.Request{Method: http.MethodGet, Path: "/ready", Host: "x"})
 			if err == nil && a.Status == http.StatusOK {
 				ready++
 			}
 		}
-		if ready == len(s.world.processes) {
+		if ready == len(s.env.processes) {
 			return true
 		}
 	}
 	return false
 }
 
-// play runs callers and faults, then a calm time in which all has to be served again.
-func (s *soak) play(ctx context.Context) {
+// runLoad runs callers and faults, then a quiet period after which everything has to be served
+// again.
+func (s *soak) runLoad(ctx context.Context) {
 	work, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for i := range s.Callers {
@@ -128,36 +135,36 @@
 		wg.Go(func() { c.run(work) })
 	}
 	s.injectFaults(ctx)
-	time.Sleep(calm / 2)
+	time.Sleep(quietPeriod / 2)
 	if !s.waitReady(ctx) {
-		s.finding("instances are not ready %v after the last fault", calm/2+readyWithin)
+		s.addFinding("instances are not ready %v after the last fault", quietPeriod/2+readyTimeout)
 	}
-	time.Sleep(calm / 2)
+	time.Sleep(quietPeriod / 2)
 	s.checkServed(ctx)
 	stop()
 	wg.Wait()
 }
 
-// injectFaults brings faults about at random, some at a time, each for a while.
+// injectFaults starts random faults and ends them later, the oldest first, so that they overlap.
 func (s *soak) injectFaults(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, ^uint64(0)))
 	var ends []func()
-	all := faultsOf(s.Seed)
-	if len(s.Only) > 0 {
-		all = s.Only
+	all := faultNamesForSeed(s.Seed)
+	if len(s.FaultNames) > 0 {
+		all = s.FaultNames
 	}
-	until := time.Now().Add(s.Length)
+	until := time.Now().Add(s.FaultDuration)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		what, end := faults[all[rnd.IntN(len(all))]](s.world, rnd)
+		what, end := faults[all[rnd.IntN(len(all))]](s.env, rnd)
 		s.mu.Lock()
 		s.result.Faults++
-		s.figures.moments = append(s.figures.moments, Moment{time.Since(s.began).Seconds(), what})
+		s.measurements.moments = append(s.measurements.moments, Moment{time.Since(s.startedAt).Seconds(), what})
 		s.mu.Unlock()
-		s.say("%s", what)
+		s.logf("%s", what)
 		if end != nil {
 			ends = append(ends, end)
 		}
-		if len(ends) > faultsMost || len(ends) > 0 && rnd.IntN(2) == 0 {
+		if len(ends) > maxOverlappingFaults || len(ends) > 0 && rnd.IntN(2) == 0 {
 			ends[0]()
 			ends = ends[1:]
 		}
@@ -166,45 +173,45 @@
 	for _, end := range ends {
 		end()
 	}
-	s.say("no more faults")
+	s.logf("no more faults")
 }
 
-func (s *soak) say(format string, args ...any) {
-	_, _ = fmt.Fprintf(s.Out, "%8.3f s  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
+func (s *soak) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(s.Out, "%8.3f s  %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (s *soak) finding(format string, args ...any) {
+func (s *soak) addFinding(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	s.say("FINDING: %s", text)
+	s.logf("FINDING: %s", text)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.result.Findings = append(s.result.Findings, text)
 }
 
-// check looks at what became of a request.
-func (s *soak) check(r *standin.Request, a *asked) {
+// checkCall records the outcome of a request and checks its answer.
+func (s *soak) checkCall(r *standin.Request, a *call) {
 	s.mu.Lock()
-	s.all[a.id] = a
-	s.count(r, a)
+	s.calls[a.id] = a
+	s.countOutcome(r, a)
 	s.mu.Unlock()
 	if a.err != nil || a.answer.Status != http.StatusOK {
 		return
 	}
 	if r.PromptID != "" {
-		if wrong := whole(&a.answer, r.PromptID); wrong != "" {
-			s.finding("stream %s: %s", a.id, wrong)
+		if wrong := streamDefect(&a.answer, r.PromptID); wrong != "" {
+			s.addFinding("stream %s: %s", a.id, wrong)
 		}
 		return
 	}
 	if a.answer.Complete && a.answer.Body != "answer to "+a.id {
-		s.finding("request %s got %q", a.id, a.answer.Body)
+		s.addFinding("request %s got %q", a.id, a.answer.Body)
 	}
 }
 
-// count counts what became of a request.
-func (s *soak) count(r *standin.Request, a *asked) {
+// countOutcome counts the outcome of a request. The caller holds the mutex.
+func (s *soak) countOutcome(r *standin.Request, a *call) {
 	s.result.Asked++
-	now := s.figures.second(a.ended.Sub(s.began))
+	now := s.measurements.second(a.ended.Sub(s.startedAt))
 	switch {
 	case a.err != nil || !a.answer.Complete:
 		s.result.Unknown++
@@ -215,49 +222,49 @@
 	default:
 		s.result.Served++
 		now.Served++
-		s.time(r, a)
+		s.recordLatency(r, a)
 	}
 }
 
-// time records how long a request that was served took.
-func (s *soak) time(r *standin.Request, a *asked) {
+// recordLatency records the latencies of a request that was served.
+func (s *soak) recordLatency(r *standin.Request, a *call) {
 	if r.PromptID == "" {
-		record(s.figures.plain, a.ended.Sub(a.sent))
+		record(s.measurements.plain, a.ended.Sub(a.sent))
 		return
 	}
 	s.result.Streams++
 	if len(a.answer.Events) > 0 {
-		record(s.figures.firstEvent, a.answer.Events[0].At.Sub(a.sent))
-		record(s.figures.longestPause, a.answer.LongestGap())
+		record(s.measurements.firstEvent, a.answer.Events[0].At.Sub(a.sent))
+		record(s.measurements.longestPause, a.answer.LongestGap())
 	}
 }
 
-// checkServed asks each instance for each kind of thing after the faults are over.
+// checkServed sends each kind of request to each instance after the faults are over.
 func (s *soak) checkServed(ctx context.Context) {
-	for i, p := range s.world.processes {
+	for i, p := range s.env.processes {
 		for _, r := range []standin.Request{
-			{Path: "/ping/1", Timeout: plainWait}, {Path: "/brief/1", Timeout: streamWait, PromptID: "ca1f", PromptTokens: promptSize},
+			{Path: "/ping/1", Timeout: plainWait}, {Path: "/brief/1", Timeout: streamWait, PromptID: "ca1f", PromptTokens: promptTokens},
 		} {
-			r.Method, r.Host, r.Key, r.ID = http.MethodPost, host, keptKey, fmt.Sprintf("calm-%d-%s", i, r.Path[1:5])
-			a, err := s.askAgainOnceUp(ctx, p, r)
+			r.Method, r.Host, r.Key, r.ID = http.MethodPost, host, permanentKey, fmt.Sprintf("calm-%d-%s", i, r.Path[1:5])
+			a, err := s.retryWhenAllRunning(ctx, p, r)
 			if err != nil || a.Status != http.StatusOK || !a.Complete {
-				s.finding("%s does not serve %s %v after the last fault: status %d, %v", p.name, r.Path, calm, a.Status, err)
+				s.addFinding("%s does not serve %s %v after the last fault: status %d, %v", p.name, r.Path, quietPeriod, a.Status, err)
 			}
 		}
 	}
 }
 
-// askAgainOnceUp asks once more where the answer was not good while endpoints were down: requests that end endpoints still come, and each may
-// end a few.
-func (s *soak) askAgainOnceUp(ctx context.Context, p *process, r standin.Request) (standin.Answer, error) {
-	a, err := standin.Do(ctx, dial, p.callers, r)
-	if err == nil && a.Status == http.StatusOK && a.Complete || s.world.allUp() {
+// retryWhenAllRunning sends a request, and once more if it failed while endpoints were down.
+// Callers still send fatal requests at this time, and each may crash a few endpoints.
+func (s *soak) retryWhenAllRunning(ctx context.Context, p *process, r standin.Request) (standin.Answer, error) {
+	a, err := standin.Do(ctx, dial, p.callersAddress, r)
+	if err == nil && a.Status == http.StatusOK && a.Complete || s.env.allRunning() {
 		return a, err
 	}
-	for until := time.Now().Add(settle); time.Now().Before(until) && !s.world.allUp(); {
-		time.Sleep(readyStep)
+	for until := time.Now().Add(settleTime); time.Now().Before(until) && !s.env.allRunning(); {
+		time.Sleep(readyPollInterval)
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	r.ID += "-again"
-	return standin.Do(ctx, dial, p.callers, r)
+	return standin.Do(ctx, dial, p.callersAddress, r)
 }
