--- a/cli/bench/bench.go
+++ b/cli/bench/bench.go
@@ -134,7 +134,7 @@
 	e, err := engine.Start(engine.Config{
 		ID: fmt.Sprintf("engine-%02d", i), Address: "127.0.0.1:0", DataCentre: p.DataCentre[i%3], Service: p.Deployment,
 		Slots: p.Slots, Interval: p.Interval, PrefillRate: p.PrefillRate, CacheBlocks: 2000, Lag: 200 * time.Millisecond,
-		Gaps: 0.05, ChecksFencing: true, LoadTime: time.Second, Seed: r.Seed + uint64(i),
+		EventLoss: 0.05, ChecksFencing: true, LoadTime: time.Second, Seed: r.Seed + uint64(i),
 		Models:   []endpoint.LoadedModel{{Name: p.Model, Version: "1"}},
 		Platform: platform.NewObjects(r.platform.URL(), time.Second, network.TCP{}), Network: network.TCP{},
 	})
@@ -224,7 +224,7 @@
 	}
 	began := time.Now()
 	a, err := c.Generate(ctx, q)
-	want := engine.Answer(load.StartRequest(r.dep, q.Prompt, q.MaxTokens, q.Seed))
+	want := engine.ExpectedText(load.StartRequest(r.dep, q.Prompt, q.MaxTokens, q.Seed))
 	r.tally.Generation(a, err, want, tokens, nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cli/command/standin.go
+++ b/cli/command/standin.go
@@ -82,7 +82,7 @@
 	f.Float64Var(&cfg.PrefillRate, "prefill-rate", 20000, "tokens prefilled per second")
 	f.IntVar(&cfg.CacheBlocks, "cache-blocks", 4096, "blocks in the prefix cache")
 	f.DurationVar(&cfg.Lag, "lag", 200*time.Millisecond, "age of load figures and cache events")
-	f.Float64Var(&cfg.Gaps, "gaps", 0.05, "share of cache events that are lost")
+	f.Float64Var(&cfg.EventLoss, "gaps", 0.05, "share of cache events that are lost")
 	f.BoolVar(&cfg.ChecksFencing, "checks-fencing", true, "refuse orders with an old fencing number")
 	f.DurationVar(&cfg.LoadTime, "load-time", time.Second, "time to load a model")
 	f.Uint64Var(&cfg.Salt, "salt", 0, "text differs from try to try when not 0")
@@ -108,7 +108,7 @@
 	f.StringVar(&cfg.DataCentre, "data-centre", "dc-1", "data centre")
 	f.StringVar(&cfg.Service, "service", "services", "endpoint group")
 	f.IntVar(&cfg.Slots, "slots", 64, "calls at once")
-	f.DurationVar(&cfg.Work, "work", 5*time.Millisecond, "time that a call takes")
+	f.DurationVar(&cfg.CallDuration, "work", 5*time.Millisecond, "time that a call takes")
 	f.StringVar(&url, "platform", "", "base URL of the platform, to be listed there")
 	return c
 }
--- a/cli/demo/demo.go
+++ b/cli/demo/demo.go
@@ -201,7 +201,7 @@
 		IdempotencyKey: fmt.Sprintf("demo-%d", i), Token: func(string) { d.tokens.Add(1) },
 	}
 	a, err := d.client(i).Generate(ctx, r)
-	want := engine.Answer(load.StartRequest(d.generations, prompt, d.Tokens, int64(i)))
+	want := engine.ExpectedText(load.StartRequest(d.generations, prompt, d.Tokens, int64(i)))
 	d.tally.Generation(a, err, want, d.Tokens, &d.faults)
 }
 
--- a/cli/e2e/contract_test.go
+++ b/cli/e2e/contract_test.go
@@ -88,7 +88,7 @@
 		"cut off":       {func(w *world, _ *engine.Engine) { w.cutOff("e0") }, nil, endpoint.ErrRefused},
 		"dies at token": {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{DieAtToken: 10}) }, nil, endpoint.ErrBroken},
 		"crossed":       {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{Cross: true}) }, nil, endpoint.ErrCrossed},
-		"no prefix":     {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{NoPrefix: true}) }, func(r *endpoint.StartRequest) { r.Prefix = []string{"a"} }, endpoint.ErrMismatch},
+		"no prefix":     {func(_ *world, e *engine.Engine) { e.SetFault(engine.Fault{RefusePrefix: true}) }, func(r *endpoint.StartRequest) { r.Prefix = []string{"a"} }, endpoint.ErrMismatch},
 		"other model":   {nil, func(r *endpoint.StartRequest) { r.Model = "x" }, endpoint.ErrRefused},
 		"bad request":   {nil, func(r *endpoint.StartRequest) { r.MaxTokens = 0 }, endpoint.ErrInvalid},
 	} {
--- a/cli/e2e/fleet_test.go
+++ b/cli/e2e/fleet_test.go
@@ -186,7 +186,7 @@
 		}
 		open := 0
 		for _, e := range w.engines {
-			open += e.Open()
+			open += e.OpenStreams()
 		}
 		// What the others use is known a heartbeat or two late.
 		assert.Assert(t, open >= 9 && open <= 18, "%d in progress", open)
@@ -224,7 +224,7 @@
 		c := openai.NewClient(
 			option.WithBaseURL("http://"+w.gateways[0].Callers+"/v1"), option.WithAPIKey(teamKey),
 			option.WithHTTPClient(&http.Client{Transport: transport}), option.WithMaxRetries(0))
-		want := engine.Answer(startRequest(w, prompt, 20))
+		want := engine.ExpectedText(startRequest(w, prompt, 20))
 
 		whole, err := c.Completions.New(w.ctx(), openai.CompletionNewParams{
 			Model: "brief-llm", Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String(prompt)},
@@ -255,7 +255,7 @@
 			acc.AddChunk(chat.Current())
 		}
 		assert.NilError(t, chat.Err())
-		assert.Equal(t, acc.Choices[0].Message.Content, engine.Answer(startRequest(w, "<|user|>\nhello\n<|assistant|>\n", 20)))
+		assert.Equal(t, acc.Choices[0].Message.Content, engine.ExpectedText(startRequest(w, "<|user|>\nhello\n<|assistant|>\n", 20)))
 		assert.Equal(t, acc.Usage.CompletionTokens, int64(20))
 
 		_, err = c.Completions.New(w.ctx(), openai.CompletionNewParams{Model: "nothing", Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("x")}})
--- a/cli/e2e/recovery_test.go
+++ b/cli/e2e/recovery_test.go
@@ -78,7 +78,7 @@
 						f(w, i)
 						time.Sleep(time.Second)
 						for j, e := range w.engines {
-							if j != i && e.Open() > 0 {
+							if j != i && e.OpenStreams() > 0 {
 								g(w, j)
 								return
 							}
@@ -219,7 +219,7 @@
 				cancel()
 				time.Sleep(40 * time.Second)
 				for _, e := range w.engines {
-					assert.Equal(t, e.Open(), 0)
+					assert.Equal(t, e.OpenStreams(), 0)
 				}
 			})
 		})
@@ -235,7 +235,7 @@
 		assert.Assert(t, err != nil)
 		time.Sleep(10 * time.Second)
 		for _, e := range w.engines {
-			assert.Equal(t, e.Open(), 0)
+			assert.Equal(t, e.OpenStreams(), 0)
 		}
 	})
 }
@@ -317,7 +317,7 @@
 				}()
 				a, err := w.client(0).Generate(w.ctx(), r)
 				w.dep.Version = "1"
-				want := engine.Answer(startRequest(w, r.Prompt, r.MaxTokens))
+				want := engine.ExpectedText(startRequest(w, r.Prompt, r.MaxTokens))
 				if c.whole {
 					assert.NilError(t, err)
 					assert.Equal(t, a.Text, want)
--- a/cli/e2e/world_test.go
+++ b/cli/e2e/world_test.go
@@ -101,7 +101,7 @@
 	for i := range w.shape.services {
 		p, err := plain.Start(plain.Config{
 			ID: fmt.Sprint("s", i), Address: "10.0.2.1:0", DataCentre: dc(i), Service: "queue-app", Slots: 64,
-			Work: 5 * time.Millisecond, Platform: w.platformFrom(fmt.Sprint("s", i)), Network: w.net.Node(fmt.Sprint("s", i)),
+			CallDuration: 5 * time.Millisecond, Platform: w.platformFrom(fmt.Sprint("s", i)), Network: w.net.Node(fmt.Sprint("s", i)),
 		})
 		assert.NilError(w.t, err)
 		w.services = append(w.services, p)
@@ -133,7 +133,7 @@
 	}
 	e, err := engine.Start(engine.Config{
 		ID: id, Address: "10.0.1.1:0", DataCentre: dc(i), Service: "brief-llm", Slots: slots, Interval: interval,
-		PrefillRate: 20000, CacheBlocks: 1000, Lag: 200 * time.Millisecond, Gaps: 0.1, ChecksFencing: !w.shape.ignoreFencing,
+		PrefillRate: 20000, CacheBlocks: 1000, Lag: 200 * time.Millisecond, EventLoss: 0.1, ChecksFencing: !w.shape.ignoreFencing,
 		LoadTime: time.Second, Salt: w.shape.salt, Seed: uint64(i), Models: []endpoint.LoadedModel{{Name: model, Version: version}},
 		Platform: w.platformFrom(id), Network: w.net.Node(id),
 		Exit: func() {
@@ -245,16 +245,16 @@
 	start := load.StartRequest(w.dep, r.Prompt, r.MaxTokens, r.Seed)
 	assert.Equal(w.t, a.Tokens, r.MaxTokens)
 	if w.shape.salt == 0 {
-		assert.Equal(w.t, a.Text, engine.Answer(start))
+		assert.Equal(w.t, a.Text, engine.ExpectedText(start))
 		return
 	}
-	assert.Assert(w.t, engine.Lineage(start, a.Text, r.MaxTokens), "mixed: %s", a.Text)
+	assert.Assert(w.t, engine.ConsistentText(start, a.Text, r.MaxTokens), "mixed: %s", a.Text)
 }
 
 // serving returns the engine that runs streams.
 func (w *world) serving() int {
 	for i, e := range w.engines {
-		if e.Open() > 0 {
+		if e.OpenStreams() > 0 {
 			return i
 		}
 	}
@@ -271,7 +271,7 @@
 		sum.Prefilled += st.Prefilled
 		sum.Streams += st.Streams
 		sum.Cancelled += st.Cancelled
-		sum.ThrownAway += st.ThrownAway
+		sum.Discarded += st.Discarded
 	}
 	return sum
 }
--- a/cli/standin/engine/cache.go
+++ b/cli/standin/engine/cache.go
@@ -7,72 +7,80 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-// tokensPerBlock is the size of a cached block.
+// tokensPerBlock is the size of a prefix cache block in tokens.
 const tokensPerBlock = 64
 
-// prefixCache is a least-recently-used set of prompt prefixes with its event log.
+// prefixCache is an LRU set of prompt prefix hashes and the log of its changes. It is not safe for
+// concurrent use.
 type prefixCache struct {
-	most   int
-	order  *list.List // of uint64, most recent first
-	places map[uint64]*list.Element
-	events []timedEvent
-	seq    uint64
+	capacity int
+	lru      *list.List // prefix hashes (uint64), most recently used first
+	elements map[uint64]*list.Element
+	events   []delayedEvent
+	seq      uint64
 }
 
-type timedEvent struct {
+// delayedEvent is a cache event that status calls leave out before visibleAt.
+type delayedEvent struct {
 	endpoint.CacheEvent
-	due time.Time
+	visibleAt time.Time
 }
 
-const keptEvents = 4096
+// maxLoggedEvents bounds the log; older events are dropped.
+const maxLoggedEvents = 4096
 
-func newPrefixCache(most int) *prefixCache {
-	return &prefixCache{most: most, order: list.New(), places: map[uint64]*list.Element{}}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, lru: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-// lookup returns how many prompt tokens are cached.
+// lookup returns how many tokens of a prompt are cached. prefixes are the hashes of the prompt's
+// prefixes, one a block, shortest first.
 func (c *prefixCache) lookup(prefixes []uint64) int {
 	n := 0
 	for i, p := range prefixes {
-		if at := c.places[p]; at != nil {
-			c.order.MoveToFront(at)
+		if elem := c.elements[p]; elem != nil {
+			c.lru.MoveToFront(elem)
 			n = (i + 1) * tokensPerBlock
 		}
 	}
 	return n
 }
 
-func (c *prefixCache) store(due time.Time, prefixes []uint64, lost func() bool) {
+// store adds prefixes and evicts the least recently used ones beyond the capacity. lose is asked for
+// each event whether it is lost.
+func (c *prefixCache) store(visibleAt time.Time, prefixes []uint64, lose func() bool) {
 	for _, p := range prefixes {
-		if at := c.places[p]; at != nil {
-			c.order.MoveToFront(at)
+		if elem := c.elements[p]; elem != nil {
+			c.lru.MoveToFront(elem)
 			continue
 		}
-		c.places[p] = c.order.PushFront(p)
-		c.event(due, p, false, lost())
-		if c.order.Len() > c.most {
-			oldest := c.order.Remove(c.order.Back()).(uint64)
-			delete(c.places, oldest)
-			c.event(due, oldest, true, lost())
+		c.elements[p] = c.lru.PushFront(p)
+		c.logEvent(visibleAt, p, false, lose())
+		if c.lru.Len() > c.capacity {
+			oldest := c.lru.Remove(c.lru.Back()).(uint64)
+			delete(c.elements, oldest)
+			c.logEvent(visibleAt, oldest, true, lose())
 		}
 	}
 }
 
-func (c *prefixCache) event(due time.Time, prefix uint64, evicted, lost bool) {
+// logEvent logs one change. A lost event takes a sequence number too, so that readers see a gap.
+func (c *prefixCache) logEvent(visibleAt time.Time, prefix uint64, evicted, lost bool) {
 	c.seq++
 	if lost {
 		return
 	}
-	c.events = append(c.events, timedEvent{endpoint.CacheEvent{Sequence: c.seq, Prefix: endpoint.HashHex(prefix), Evicted: evicted}, due})
-	if len(c.events) > keptEvents {
-		c.events = c.events[len(c.events)-keptEvents:]
+	c.events = append(c.events, delayedEvent{endpoint.CacheEvent{Sequence: c.seq, Prefix: endpoint.HashHex(prefix), Evicted: evicted}, visibleAt})
+	if len(c.events) > maxLoggedEvents {
+		c.events = c.events[len(c.events)-maxLoggedEvents:]
 	}
 }
 
+// since returns the events after sequence number seq that are visible at now.
 func (c *prefixCache) since(now time.Time, seq uint64) []endpoint.CacheEvent {
 	var out []endpoint.CacheEvent
 	for _, ev := range c.events {
-		if ev.Sequence > seq && !now.Before(ev.due) {
+		if ev.Sequence > seq && !now.Before(ev.visibleAt) {
 			out = append(out, ev.CacheEvent)
 		}
 	}
--- a/cli/standin/engine/engine.go
+++ b/cli/standin/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is a stand-in for a model engine: continuous batching with a slot limit,
-// a prefix cache with limited memory, priorities, streams that can be resumed, continued
-// from a forced prefix, probed and cancelled, status that lags, cache events that come late
-// and with gaps, orders with fencing, and faults by an admin call. Its text is made from the
-// request, so that a test knows the right answer.
+// Package engine simulates a model engine for tests, benchmarks and demos. It has continuous
+// batching with a slot limit, priorities, a prefix cache of limited size and orders with fencing
+// numbers. Streams can be resumed, continued from a forced prefix, probed and cancelled. The status
+// lags, and cache events come late and with gaps. An admin call injects faults. The generated text
+// is a function of the request, so that a test can compute the expected answer.
 package engine
 
 import (
@@ -21,100 +21,106 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// Config describes a stand-in.
+// Config describes an engine.
 type Config struct {
 	ID, Address, DataCentre, Service string
 	Slots                            int
-	// Interval is the time of one step of the batch: one token for each running stream.
+	// Interval is the time between two steps of the batch. A step generates one token for each
+	// running stream.
 	Interval time.Duration
-	// PrefillRate is in tokens per second.
+	// PrefillRate is the prefill speed of each stream, in tokens per second.
 	PrefillRate float64
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache, in blocks of tokensPerBlock tokens.
 	CacheBlocks int
-	// Lag is the age of load figures and cache events.
+	// Lag is the interval between updates of the reported load, and the delay of cache events.
 	Lag time.Duration
-	// Gaps is the share of cache events that are lost.
-	Gaps          float64
+	// EventLoss is the share of cache events that are lost, 0 to 1.
+	EventLoss float64
+	// ChecksFencing makes the engine refuse orders with an old fencing number.
 	ChecksFencing bool
-	// LoadTime is how long a model takes to load.
+	// LoadTime is how long an order to load models takes.
 	LoadTime time.Duration
-	// Salt makes the text differ from other engines.
+	// Salt makes the text differ from attempt to attempt when it is not 0, as random sampling does.
 	Salt   uint64
 	Models []endpoint.LoadedModel
 	Seed   uint64
-	// Exit is called by the fault "die".
+	// Exit is called when a fault ends the engine; it may be nil.
 	Exit func()
-	// Platform takes the registration; nil for none.
+	// Platform is where the engine registers; nil for no registration.
 	Platform platform.Client
 	Network  network.Network
 }
 
-// Stats are totals, for the measure of extra work.
+// Stats are totals since the start. Generated, Prefilled, PrefilledAgain, Cached and Discarded are
+// in tokens. They measure the extra work that faults cause.
 type Stats struct {
 	Generated int64 `json:"generated"`
 	Prefilled int64 `json:"prefilled"`
-	// PrefilledAgain is the part of Prefilled that was for attempts after the first.
+	// PrefilledAgain is the part of Prefilled that belongs to attempts after the first.
 	PrefilledAgain int64 `json:"prefilled_again"`
 	Cached         int64 `json:"cached"`
-	Cancelled      int64 `json:"cancelled"`
-	ThrownAway     int64 `json:"thrown_away"`
-	Streams        int64 `json:"streams"`
-	Orders         int64 `json:"orders"`
-	OldOrders      int64 `json:"old_orders"`
+	// Cancelled counts streams.
+	Cancelled int64 `json:"cancelled"`
+	// Discarded is the number of tokens generated for streams that were cancelled.
+	Discarded int64 `json:"thrown_away"`
+	Streams   int64 `json:"streams"`
+	Orders    int64 `json:"orders"`
+	// StaleOrders counts orders with an old fencing number.
+	StaleOrders int64 `json:"old_orders"`
 }
 
-// Engine is a running stand-in.
+// Engine is a running simulated engine.
 type Engine struct {
 	cfg  Config
 	boot string
 	gate serve.Gate
 	*serve.Server
 
-	mu      sync.Mutex
-	fault   Fault
-	streams map[string]*stream
-	running []*stream
-	queue   []*stream
-	next    int
-	cache   *prefixCache
-	stats   Stats
-	load    endpoint.Status // as reported
-	loadAt  time.Time
-	fence   uint64
-	models  []endpoint.LoadedModel
-	role    string
-	rnd     *rand.Rand
+	mu           sync.Mutex
+	fault        Fault
+	streams      map[string]*stream
+	running      []*stream
+	queue        []*stream
+	streamCount  int
+	cache        *prefixCache
+	stats        Stats
+	reportedLoad endpoint.Status // as last reported, up to Config.Lag old
+	reportedAt   time.Time
+	lastFence    uint64 // fencing number of the last order that was accepted
+	models       []endpoint.LoadedModel
+	role         string
+	rnd          *rand.Rand
 }
 
 // stream is one generation at the engine.
 type stream struct {
-	id       string
-	request  endpoint.StartRequest
-	hash     uint64 // of the request
-	attempt  int    // highest seen
-	tokens   []string
-	rolling  uint64
-	cached   int
-	prefill  int // tokens to prefill
-	readyAt  time.Time
-	started  bool
-	done     bool
-	gone     bool
-	ended    time.Time
-	changed  chan struct{}
-	openings int // connections so far; older ones are fenced
-	mutedTo  int // connections up to this one are silent
+	id            string
+	request       endpoint.StartRequest
+	hash          uint64 // of the request, see RequestHash
+	attempt       int    // highest seen; connections of lower attempts are fenced
+	tokens        []string
+	rollingHash   uint64 // of tokens
+	cachedTokens  int
+	prefillTokens int // not cached
+	prefillDoneAt time.Time
+	started       bool
+	done          bool
+	cancelled     bool
+	endedAt       time.Time
+	changed       chan struct{}
+	connections   int // opened so far; a connection's number is the count at its opening
+	silencedUpTo  int // connections up to this number are silent
 }
 
-// hashAt returns the rolling hash of the first n tokens.
-func (s *stream) hashAt(n int) uint64 {
+// prefixHash returns the rolling hash of the first n tokens.
+func (s *stream) prefixHash(n int) uint64 {
 	return generation.HashTokens(s.tokens[:n])
 }
 
-// keepDone is how long a finished stream can be replayed.
-const keepDone = 30 * time.Second
+// replayWindow is how long a finished stream can be resumed.
+const replayWindow = 30 * time.Second
 
-// Start runs an engine.
+// Start runs an engine until it is closed. It fails if the address can't be listened on.
 func Start(cfg Config) (*Engine, error) {
 	e := &Engine{
 		cfg: cfg, boot: uuid.NewString(), streams: map[string]*stream{}, models: cfg.Models,
@@ -125,13 +131,15 @@
 		return nil, err
 	}
 	e.Server = s
-	go e.loop()
-	go serve.Register(s.Context(), cfg.Platform, e.listed)
+	go e.runBatch()
+	go serve.Register(s.Context(), cfg.Platform, e.registration)
 	return e, nil
 }
 
-func (e *Engine) listed() platform.Listed {
-	e.gate.Pass(e.Context())
+// registration returns the engine's entry in the platform's list. It blocks while the engine is
+// frozen.
+func (e *Engine) registration() platform.Listed {
+	e.gate.Wait(e.Context())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return platform.Listed{
@@ -147,14 +155,14 @@
 	return e.stats
 }
 
-// Generations returns the generations whose streams run or wait.
+// Generations returns the IDs of the generations whose streams run or are queued.
 func (e *Engine) Generations() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []string
 	for _, list := range [][]*stream{e.running, e.queue} {
 		for _, s := range list {
-			if !s.gone && !s.done {
+			if !s.cancelled && !s.done {
 				out = append(out, s.request.Generation)
 			}
 		}
@@ -162,14 +170,15 @@
 	return out
 }
 
-// Open returns the streams that run or wait.
-func (e *Engine) Open() int {
+// OpenStreams returns the number of streams that run or are queued.
+func (e *Engine) OpenStreams() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.running) + len(e.queue)
 }
 
-func (e *Engine) loop() {
+// runBatch runs a step at each interval until the engine is closed.
+func (e *Engine) runBatch() {
 	tick := time.NewTicker(e.cfg.Interval)
 	defer tick.Stop()
 	for {
@@ -177,17 +186,17 @@
 		case <-e.Context().Done():
 			return
 		case now := <-tick.C:
-			e.gate.Pass(e.Context())
+			e.gate.Wait(e.Context())
 			e.step(now)
 		}
 	}
 }
 
-// step is one turn of the batch.
+// step runs one step of the batch.
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fill(now)
+	e.admitQueued(now)
 	kept := e.running[:0]
 	for _, s := range e.running {
 		if e.advance(now, s) {
@@ -195,38 +204,40 @@
 		}
 	}
 	e.running = kept
-	e.report(now)
-	e.forget(now)
+	e.updateReportedLoad(now)
+	e.dropExpired(now)
 }
 
-// fill takes waiting streams into free slots, lowest priority number first.
-func (e *Engine) fill(now time.Time) {
+// admitQueued moves queued streams into free slots, lowest priority number first, and starts their
+// prefill. The lock is held.
+func (e *Engine) admitQueued(now time.Time) {
 	sort.SliceStable(e.queue, func(i, j int) bool { return e.queue[i].request.Priority < e.queue[j].request.Priority })
 	for len(e.queue) > 0 && len(e.running) < e.cfg.Slots {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
-		if s.gone {
+		if s.cancelled {
 			continue
 		}
 		s.started = true
-		s.readyAt = now.Add(time.Duration(float64(s.prefill) / e.cfg.PrefillRate * float64(time.Second)))
-		e.stats.Prefilled += int64(s.prefill)
+		s.prefillDoneAt = now.Add(time.Duration(float64(s.prefillTokens) / e.cfg.PrefillRate * float64(time.Second)))
+		e.stats.Prefilled += int64(s.prefillTokens)
 		if s.request.Attempt > 1 {
-			e.stats.PrefilledAgain += int64(s.prefill)
+			e.stats.PrefilledAgain += int64(s.prefillTokens)
 		}
 		e.running = append(e.running, s)
 	}
 }
 
-// advance makes one token, and tells whether the stream goes on.
+// advance generates one token once the prefill is done, and reports whether the stream keeps its
+// slot. The lock is held.
 func (e *Engine) advance(now time.Time, s *stream) bool {
-	if s.gone || s.done {
+	if s.cancelled || s.done {
 		return false
 	}
-	if now.Before(s.readyAt) {
+	if now.Before(s.prefillDoneAt) {
 		return true
 	}
-	if e.endsAt(s) {
+	if e.dieAtPrompt(s) {
 		return false
 	}
 	if len(s.tokens) < s.request.MaxTokens {
@@ -234,61 +245,63 @@
 		if salt != 0 {
 			salt = 1 + e.rnd.Uint64N(1<<16)
 		}
-		t := Token(s.hash, s.rolling, salt)
+		t := Token(s.hash, s.rollingHash, salt)
 		s.tokens = append(s.tokens, t)
-		s.rolling = generation.ExtendHash(s.rolling, []byte(t))
+		s.rollingHash = generation.ExtendHash(s.rollingHash, []byte(t))
 		e.stats.Generated++
 	}
 	if len(s.tokens) >= s.request.MaxTokens {
-		s.done, s.ended = true, now
-		e.cacheStore(now, s)
+		s.done, s.endedAt = true, now
+		e.cachePrompt(now, s)
 	}
-	s.wake()
-	e.dieAt(len(s.tokens))
+	s.notify()
+	e.dieAtToken(len(s.tokens))
 	return !s.done
 }
 
-func (s *stream) wake() {
+// notify wakes the connections that wait for a change of the stream. The lock is held.
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (e *Engine) forget(now time.Time) {
+// dropExpired removes streams that ended longer than replayWindow ago. The lock is held.
+func (e *Engine) dropExpired(now time.Time) {
 	for id, s := range e.streams {
-		if (s.done || s.gone) && now.Sub(s.ended) > keepDone {
+		if (s.done || s.cancelled) && now.Sub(s.endedAt) > replayWindow {
 			delete(e.streams, id)
 		}
 	}
 }
 
-// open makes a stream for a request.
-func (e *Engine) open(r *endpoint.StartRequest) *stream {
+// openStream queues a new stream for a request. A request without a version gets the loaded one.
+func (e *Engine) openStream(r *endpoint.StartRequest) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.next++
+	e.streamCount++
 	e.stats.Streams++
 	if r.Version == "" {
-		r.Version = e.versionOf(r.Model)
+		r.Version = e.loadedVersion(r.Model)
 	}
 	s := &stream{
-		id: e.cfg.ID + "-" + e.boot[:8] + "-" + strconv.Itoa(e.next), request: *r,
-		hash: RequestHash(r), attempt: r.Attempt, changed: make(chan struct{}), openings: 1,
+		id: e.cfg.ID + "-" + e.boot[:8] + "-" + strconv.Itoa(e.streamCount), request: *r,
+		hash: RequestHash(r), attempt: r.Attempt, changed: make(chan struct{}), connections: 1,
 	}
 	for _, t := range r.Prefix {
 		s.tokens = append(s.tokens, t)
-		s.rolling = generation.ExtendHash(s.rolling, []byte(t))
+		s.rollingHash = generation.ExtendHash(s.rollingHash, []byte(t))
 	}
 	total := endpoint.PromptTokens(r.Prompt) + len(r.Prefix)
-	s.cached = min(e.cache.lookup(endpoint.PrefixHashes(r.Model, r.Prompt)), total)
-	s.prefill = total - s.cached
-	e.stats.Cached += int64(s.cached)
+	s.cachedTokens = min(e.cache.lookup(endpoint.PrefixHashes(r.Model, r.Prompt)), total)
+	s.prefillTokens = total - s.cachedTokens
+	e.stats.Cached += int64(s.cachedTokens)
 	e.streams[s.id] = s
 	e.queue = append(e.queue, s)
 	return s
 }
 
-// versionOf returns the loaded version of a model. The lock is held.
-func (e *Engine) versionOf(name string) string {
+// loadedVersion returns the loaded version of a model, empty if none is loaded. The lock is held.
+func (e *Engine) loadedVersion(name string) string {
 	for _, m := range e.models {
 		if m.Name == name {
 			return m.Version
@@ -297,37 +310,39 @@
 	return ""
 }
 
-// cancel drops a stream unless a higher attempt took it over.
+// cancel cancels a stream and reports whether it did. It leaves a stream alone that has ended or
+// that a higher attempt has taken over.
 func (e *Engine) cancel(id string, attempt int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.streams[id]
-	if s == nil || s.gone || s.done || attempt < s.attempt {
+	if s == nil || s.cancelled || s.done || attempt < s.attempt {
 		return false
 	}
-	s.gone, s.ended = true, time.Now()
+	s.cancelled, s.endedAt = true, time.Now()
 	e.stats.Cancelled++
-	e.stats.ThrownAway += int64(len(s.tokens) - len(s.request.Prefix))
-	s.wake()
+	e.stats.Discarded += int64(len(s.tokens) - len(s.request.Prefix))
+	s.notify()
 	return true
 }
 
-// report brings the load figures up to date, late.
-func (e *Engine) report(now time.Time) {
-	if now.Sub(e.loadAt) < e.cfg.Lag {
+// updateReportedLoad updates the reported load once it is Config.Lag old. The lock is held.
+func (e *Engine) updateReportedLoad(now time.Time) {
+	if now.Sub(e.reportedAt) < e.cfg.Lag {
 		return
 	}
-	e.load.Running, e.load.Queued = len(e.running), len(e.queue)
-	e.loadAt = now
+	e.reportedLoad.Running, e.reportedLoad.Queued = len(e.running), len(e.queue)
+	e.reportedAt = now
 }
 
-func (e *Engine) cacheStore(now time.Time, s *stream) {
+// cachePrompt adds the prompt of a finished stream to the prefix cache. The lock is held.
+func (e *Engine) cachePrompt(now time.Time, s *stream) {
 	e.cache.store(now.Add(e.cfg.Lag), endpoint.PrefixHashes(s.request.Model, s.request.Prompt), func() bool {
-		return e.rnd.Float64() < e.cfg.Gaps
+		return e.rnd.Float64() < e.cfg.EventLoss
 	})
 }
 
-// Role returns the engine's role.
+// Role returns the role that the last order with a role gave; empty before.
 func (e *Engine) Role() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/cli/standin/engine/fault.go
+++ b/cli/standin/engine/fault.go
@@ -8,41 +8,43 @@
 	"github.com/agateway/agateway/cli/standin/serve"
 )
 
-// Fault is what the engine does wrong. A call replaces the fault before it.
+// Fault is the set of faults in effect. Each call of SetFault replaces it whole.
 type Fault struct {
-	// Die ends the engine at once; DieAtToken when any stream reaches that many tokens.
+	// Die ends the engine at once. DieAtToken ends it when a stream reaches that many tokens, forced
+	// prefix included; 0 for never.
 	Die        bool `json:"die,omitempty"`
 	DieAtToken int  `json:"die_at_token,omitempty"`
-	// DieAtPrompt ends the engine when it has read a prompt that contains this.
+	// DieAtPrompt ends the engine when the prefill of a prompt that contains this text is done;
+	// empty for never.
 	DieAtPrompt string `json:"die_at_prompt,omitempty"`
-	// Freeze stops everything until a fault without it is set.
+	// Freeze stops everything but admin calls until a fault without Freeze is set.
 	Freeze bool `json:"freeze,omitempty"`
-	// Silent makes the connections that are open now silent for good; new ones work.
+	// Silent makes the connections that are open now silent for good. New connections work.
 	Silent bool `json:"silent,omitempty"`
-	// Cross writes tokens of one stream into another.
+	// Cross sends a stream's tokens under the ID of another stream.
 	Cross bool `json:"cross,omitempty"`
-	// Skip leaves out the token with this index, once per connection.
+	// Skip leaves out the token with this index, once per connection; 0 for none.
 	Skip int `json:"skip,omitempty"`
-	// DelayMS delays every event.
+	// DelayMS delays each write of tokens, in milliseconds.
 	DelayMS int `json:"delay_ms,omitempty"`
 	// Refuse answers new streams with 503.
 	Refuse bool `json:"refuse,omitempty"`
-	// NoPrefix refuses to continue a forced prefix.
-	NoPrefix bool `json:"no_prefix,omitempty"`
-	// ListedLeaving makes the platform's list say that the engine leaves.
+	// RefusePrefix refuses with 422 to continue a forced prefix.
+	RefusePrefix bool `json:"no_prefix,omitempty"`
+	// ListedLeaving marks the engine as leaving in the platform's list.
 	ListedLeaving bool `json:"listed_leaving,omitempty"`
-	// Leaving says so in the status. New streams are taken all the same: not to send any is
-	// the gateways' part.
+	// Leaving marks the engine as leaving in its status. The engine still accepts new streams: it is
+	// up to the gateways to send none.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// SetFault brings a fault about.
+// SetFault replaces the faults in effect.
 func (e *Engine) SetFault(f Fault) {
-	e.gate.Set(f.Freeze)
+	e.gate.SetFrozen(f.Freeze)
 	e.mu.Lock()
 	e.fault = f
 	if f.Silent {
-		e.silence()
+		e.silenceConnections()
 	}
 	e.mu.Unlock()
 	if f.Die {
@@ -50,13 +52,15 @@
 	}
 }
 
-// silence mutes the open connections, which notice by their number.
-func (e *Engine) silence() {
+// silenceConnections silences the connections open now, which compare their number with
+// silencedUpTo. The lock is held.
+func (e *Engine) silenceConnections() {
 	for _, s := range e.streams {
-		s.mutedTo = s.openings
+		s.silencedUpTo = s.connections
 	}
 }
 
+// die closes the engine as a crash does.
 func (e *Engine) die() {
 	if e.cfg.Exit != nil {
 		e.cfg.Exit()
@@ -64,8 +68,9 @@
 	e.Close()
 }
 
-// endsAt tells whether the engine ends at a stream that is about to run.
-func (e *Engine) endsAt(s *stream) bool {
+// dieAtPrompt ends the engine if DieAtPrompt matches the stream's prompt, and reports whether it
+// does. The lock is held.
+func (e *Engine) dieAtPrompt(s *stream) bool {
 	if e.fault.DieAtPrompt == "" || !strings.Contains(s.request.Prompt, e.fault.DieAtPrompt) {
 		return false
 	}
@@ -73,7 +78,8 @@
 	return true
 }
 
-func (e *Engine) dieAt(tokens int) {
+// dieAtToken ends the engine if a stream's tokens have reached DieAtToken. The lock is held.
+func (e *Engine) dieAtToken(tokens int) {
 	if e.fault.DieAtToken > 0 && tokens >= e.fault.DieAtToken {
 		e.fault.DieAtToken = 0
 		go e.die()
@@ -82,13 +88,13 @@
 
 func (e *Engine) handleFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if serve.Read(w, r, &f) {
+	if serve.ReadJSON(w, r, &f) {
 		w.WriteHeader(http.StatusNoContent)
 		if flusher, ok := w.(http.Flusher); ok {
 			flusher.Flush()
 		}
 		go func() {
-			time.Sleep(time.Millisecond) // the answer goes out first
+			time.Sleep(time.Millisecond) // lets the response go out first
 			e.SetFault(f)
 		}()
 	}
--- a/cli/standin/plain/plain.go
+++ b/cli/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for a plain service with calls that may not be repeated:
-// it counts how often each ran, and has faults by an admin call.
+// Package plain simulates a plain service whose calls must not run twice, for tests and demos. It
+// counts how often each call ran. An admin call injects faults.
 package plain
 
 import (
@@ -18,33 +18,38 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// Config describes a stand-in.
+// Config describes a service.
 type Config struct {
 	ID, Address, DataCentre, Service string
 	Slots                            int
-	// Work is the time that a call takes.
-	Work     time.Duration
-	Exit     func()
+	// CallDuration is how long a call runs.
+	CallDuration time.Duration
+	// Exit is called by the fault Die; it may be nil.
+	Exit func()
+	// Platform is where the service registers; nil for no registration.
 	Platform platform.Client
 	Network  network.Network
 }
 
-// Fault is what the service does wrong. A call replaces the fault before it.
+// Fault is the set of faults in effect. Each call of SetFault replaces it whole.
 type Fault struct {
+	// Die ends the service as a crash does. Freeze stops everything but admin calls until a fault
+	// without Freeze is set.
 	Die    bool `json:"die,omitempty"`
 	Freeze bool `json:"freeze,omitempty"`
-	// DropAfterRun runs calls and breaks the connection instead of answering.
+	// DropAfterRun runs calls and closes the connection instead of answering.
 	DropAfterRun bool `json:"drop_after_run,omitempty"`
-	// NotRun answers that the call did not run.
+	// NotRun answers calls with 503 and the header that says that the call did not run.
 	NotRun bool `json:"not_run,omitempty"`
-	// Cross answers with the id of another request.
-	Cross   bool `json:"cross,omitempty"`
+	// Cross answers with the ID of another request.
+	Cross bool `json:"cross,omitempty"`
+	// Leaving marks the service as leaving in its status.
 	Leaving bool `json:"leaving,omitempty"`
-	// Truncate breaks the connection in the middle of the answer's body.
+	// Truncate closes the connection in the middle of the answer's body.
 	Truncate bool `json:"truncate,omitempty"`
 }
 
-// Plain is a running stand-in.
+// Plain is a running simulated service.
 type Plain struct {
 	cfg  Config
 	boot string
@@ -57,7 +62,7 @@
 	running int
 }
 
-// Start runs a service.
+// Start runs a service until it is closed. It fails if the address can't be listened on.
 func Start(cfg Config) (*Plain, error) {
 	p := &Plain{cfg: cfg, boot: uuid.NewString(), runs: map[string]int{}}
 	s, err := serve.Start(cfg.Network, cfg.Address, p.routes())
@@ -65,16 +70,18 @@
 		return nil, err
 	}
 	p.Server = s
-	go serve.Register(s.Context(), cfg.Platform, p.listed)
+	go serve.Register(s.Context(), cfg.Platform, p.registration)
 	return p, nil
 }
 
-func (p *Plain) listed() platform.Listed {
-	p.gate.Pass(p.Context())
+// registration returns the service's entry in the platform's list. It blocks while the service is
+// frozen.
+func (p *Plain) registration() platform.Listed {
+	p.gate.Wait(p.Context())
 	return platform.Listed{ID: p.cfg.ID, Role: platform.RolePlain, Address: p.Addr, DataCentre: p.cfg.DataCentre, Service: p.cfg.Service}
 }
 
-// Runs returns how often each call ran: "METHOD /path body" to count.
+// Runs returns how often each call ran, by "METHOD /path body".
 func (p *Plain) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,9 +92,9 @@
 	return out
 }
 
-// SetFault brings a fault about.
+// SetFault replaces the faults in effect.
 func (p *Plain) SetFault(f Fault) {
-	p.gate.Set(f.Freeze)
+	p.gate.SetFrozen(f.Freeze)
 	p.mu.Lock()
 	p.fault = f
 	p.mu.Unlock()
@@ -104,26 +111,26 @@
 	r.Get("/v1/status", p.handleStatus)
 	r.Post("/admin/fault", func(w http.ResponseWriter, r *http.Request) {
 		var f Fault
-		if serve.Read(w, r, &f) {
+		if serve.ReadJSON(w, r, &f) {
 			w.WriteHeader(http.StatusNoContent)
 			go p.SetFault(f)
 		}
 	})
-	r.Get("/admin/runs", func(w http.ResponseWriter, _ *http.Request) { serve.JSON(w, p.Runs()) })
+	r.Get("/admin/runs", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, p.Runs()) })
 	r.HandleFunc("/*", p.handleCall)
 	return r
 }
 
 func (p *Plain) handleStatus(w http.ResponseWriter, r *http.Request) {
-	p.gate.Pass(r.Context())
+	p.gate.Wait(r.Context())
 	p.mu.Lock()
 	st := endpoint.Status{Slots: p.cfg.Slots, Running: p.running, Leaving: p.fault.Leaving, Boot: p.boot}
 	p.mu.Unlock()
-	serve.JSON(w, st)
+	serve.WriteJSON(w, st)
 }
 
 func (p *Plain) handleCall(w http.ResponseWriter, r *http.Request) {
-	p.gate.Pass(r.Context())
+	p.gate.Wait(r.Context())
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -135,8 +142,8 @@
 	}
 	p.running++
 	p.mu.Unlock()
-	time.Sleep(p.cfg.Work)
-	p.gate.Pass(r.Context())
+	time.Sleep(p.cfg.CallDuration)
+	p.gate.Wait(r.Context())
 	p.mu.Lock()
 	p.running--
 	p.mu.Unlock()
@@ -161,5 +168,5 @@
 		id = "another-request"
 	}
 	w.Header().Set(endpoint.HeaderRequestID, id)
-	serve.JSON(w, map[string]string{"method": r.Method, "path": r.URL.Path, "body": string(body), "traceparent": r.Header.Get("traceparent")})
+	serve.WriteJSON(w, map[string]string{"method": r.Method, "path": r.URL.Path, "body": string(body), "traceparent": r.Header.Get("traceparent")})
 }
--- a/cli/standin/serve/serve.go
+++ b/cli/standin/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve holds what the stand-ins share: a listener that can be killed, a gate
-// that freezes, registration in the platform's list, and JSON helpers.
+// Package serve holds what the simulated systems share: an HTTP server that closes as a crash does,
+// a gate that simulates a frozen process, registration in the platform's list, and JSON helpers.
 package serve
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/agateway/agateway/gateway/platform"
 )
 
-// Server is a listening stand-in.
+// Server is a listening HTTP server. Addr is its address with the port in use.
 type Server struct {
 	Addr   string
 	server *http.Server
@@ -21,7 +21,8 @@
 	ctx    context.Context
 }
 
-// Start listens on address and serves h until the server is closed.
+// Start listens on address and serves h until the server is closed. It fails if address can't be
+// listened on.
 func Start(n network.Network, address string, h http.Handler) (*Server, error) {
 	l, err := n.Listen(address)
 	if err != nil {
@@ -33,30 +34,30 @@
 	return s, nil
 }
 
-// Context ends when the server is closed.
+// Context returns a context that ends when the server is closed.
 func (s *Server) Context() context.Context { return s.ctx }
 
-// Close drops the listener and all connections at once, as a crash does.
+// Close closes the listener and all connections at once, as a crash does.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.server.Close()
 }
 
 const (
-	registerEvery = time.Second
-	registerTTL   = 3 * time.Second
+	registerInterval = time.Second
+	registerTTL      = 3 * time.Second
 )
 
-// Register keeps an entry in the platform's list until ctx ends, as the real platform
-// does for its instances. entry is asked each time.
+// Register keeps an entry in the platform's list until ctx ends, as the real platform does for its
+// instances. It calls entry before each write. A nil client means no registration.
 func Register(ctx context.Context, p platform.Client, entry func() platform.Listed) {
 	if p == nil {
 		return
 	}
-	tick := time.NewTicker(registerEvery)
+	tick := time.NewTicker(registerInterval)
 	defer tick.Stop()
 	for {
-		_ = p.Register(ctx, entry(), registerTTL) // the next tick tries again
+		_ = p.Register(ctx, entry(), registerTTL) // a failure is retried at the next tick
 		select {
 		case <-ctx.Done():
 			return
@@ -65,14 +66,14 @@
 	}
 }
 
-// Gate blocks those who pass while it is closed: a frozen process.
+// Gate simulates a frozen process: Wait blocks while the gate is frozen. The zero Gate is open.
 type Gate struct {
 	mu     sync.Mutex
-	closed chan struct{} // nil when open
+	closed chan struct{} // closed when the gate opens; nil while it is open
 }
 
-// Set closes or opens the gate.
-func (g *Gate) Set(frozen bool) {
+// SetFrozen freezes or opens the gate.
+func (g *Gate) SetFrozen(frozen bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -84,8 +85,8 @@
 	}
 }
 
-// Pass waits until the gate is open or ctx ends.
-func (g *Gate) Pass(ctx context.Context) {
+// Wait blocks until the gate is open or ctx ends.
+func (g *Gate) Wait(ctx context.Context) {
 	g.mu.Lock()
 	c := g.closed
 	g.mu.Unlock()
@@ -98,14 +99,15 @@
 	}
 }
 
-// JSON writes v as the response.
-func JSON(w http.ResponseWriter, v any) {
+// WriteJSON writes v as the JSON response. A failure to encode or write is ignored.
+func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Read decodes the request's JSON body into v and answers 400 if it can't.
-func Read(w http.ResponseWriter, r *http.Request, v any) bool {
+// ReadJSON decodes the request's JSON body into v and reports whether it could. If not, it has
+// answered 400.
+func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
