--- a/cli/bench/bench.go
+++ b/cli/bench/bench.go
@@ -218,7 +218,7 @@
 func (r *run) generate(ctx context.Context, c *caller.Client, i int) {
 	p := &r.profile
 	tokens := p.tokens(i)
-	q := caller.Request{Model: p.Deployment, Prompt: r.prompt(i), MaxTokens: tokens, Seed: int64(i), Deadline: p.Deadline, SendTokens: true, Once: r.Once}
+	q := caller.Request{Model: p.Deployment, Prompt: r.prompt(i), MaxTokens: tokens, Seed: int64(i), Timeout: p.Deadline, SendTokens: true, NoRetry: r.Once}
 	if r.Key {
 		q.IdempotencyKey, q.NoCursor = fmt.Sprint("bench-", i), true
 	}
@@ -300,7 +300,7 @@
 			continue
 		}
 		r.report.Hit++
-		for n, t := range a.Times {
+		for n, t := range a.TokenTimes {
 			if t.After(at) {
 				r.recordResume(t.Sub(at), n, resume, beyond)
 				break
--- a/cli/caller/caller.go
+++ b/cli/caller/caller.go
@@ -1,6 +1,7 @@
-// Package caller is a caller of the system as it should be written: it asks for an entry
-// address, keeps the answer a while, goes on at another instance when its own is lost,
-// with the cursor of the last event, and takes a refusal's word on when to come back.
+// Package caller is the reference client of the system. It asks an instance which addresses to use
+// and caches the answer for its TTL. If the connection to an instance is lost, it resumes the
+// stream at another instance with the cursor of the last event. After a refusal it waits at least
+// as long as the refusal says; a refusal without a time to retry is final.
 package caller
 
 import (
@@ -20,114 +21,118 @@
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
-// Options of a client.
+// Options configure a client.
 type Options struct {
-	// Entries are addresses of instances to ask for others.
+	// Entries are the addresses of instances that are asked which addresses to use. They are also
+	// used when no other address works.
 	Entries []string
 	// Key is the team's key.
 	Key string
-	// DataCentre is preferred in the answers; empty for the answering instance's.
+	// DataCentre is the data centre whose instances are preferred; empty for the data centre of the
+	// instance that answers.
 	DataCentre string
-	// Silence is how long a stream may carry nothing, comments included, before it is
-	// taken for lost.
-	Silence time.Duration
-	// Fixed makes the client use Entries as they are, without asking for others.
-	Fixed bool
-	// Network is how to connect; nil for TCP.
+	// IdleTimeout is how long nothing may arrive on a stream before it is treated as lost; comment
+	// lines count as data. 0 means DefaultIdleTimeout.
+	IdleTimeout time.Duration
+	// FixedEntries makes the client use Entries as they are, without asking for others.
+	FixedEntries bool
+	// Network makes the connections; nil for TCP.
 	Network network.Network
 }
 
-// DefaultSilence suits instances that send a comment each second.
-const DefaultSilence = 2500 * time.Millisecond
+// DefaultIdleTimeout suits instances that send a comment each second.
+const DefaultIdleTimeout = 2500 * time.Millisecond
 
-// Client is a caller. It is safe for concurrent use.
+// Client sends requests to instances. It is safe for concurrent use.
 type Client struct {
 	opt  Options
 	http *http.Client
 
-	mu    sync.Mutex
-	known []string
-	until time.Time
-	bad   map[string]time.Time // addresses that failed lately
+	mu                sync.Mutex
+	addresses         []string
+	addressesExpireAt time.Time
+	avoidUntil        map[string]time.Time // addresses that failed lately, and until when not to use them
 }
 
-// New returns a client.
+// New returns a client. It makes no connections yet.
 func New(opt Options) *Client {
-	if opt.Silence == 0 {
-		opt.Silence = DefaultSilence
+	if opt.IdleTimeout == 0 {
+		opt.IdleTimeout = DefaultIdleTimeout
 	}
 	if opt.Network == nil {
 		opt.Network = network.TCP{}
 	}
 	const connect = time.Second
 	t := &http.Transport{DialContext: network.DialerWithTimeout(opt.Network, connect), DisableKeepAlives: true}
-	return &Client{opt: opt, http: &http.Client{Transport: t}, bad: map[string]time.Time{}}
+	return &Client{opt: opt, http: &http.Client{Transport: t}, avoidUntil: map[string]time.Time{}}
 }
 
-// Request is a generation to ask for.
+// Request describes a generation.
 type Request struct {
 	Model     string
 	Prompt    string
 	MaxTokens int
 	Seed      int64
-	// IdempotencyKey lets a request be asked again without its cursor; empty for none.
+	// IdempotencyKey lets a request be sent again without a cursor; empty for none.
 	IdempotencyKey string
-	// Deadline is how long the whole may take.
-	Deadline time.Duration
-	// Token is called for each token; it may be nil.
-	Token func(text string)
-	// NoCursor makes the client ask again by key only.
+	// Timeout limits the whole generation, retries included.
+	Timeout time.Duration
+	// OnToken is called for each token; it may be nil.
+	OnToken func(text string)
+	// NoCursor makes the client retry by key only. It discards what it has received.
 	NoCursor bool
-	// Once makes the client take a refusal as it is, without asking again.
-	Once bool
-	// SendTokens makes the client send the tokens it holds along with its cursor, so that
-	// they need not be generated again when the engine is gone too.
+	// NoRetry makes every refusal final.
+	NoRetry bool
+	// SendTokens makes the client send the tokens it has received along with its cursor, so that
+	// they need not be generated again if the engine is lost too.
 	SendTokens bool
 }
 
-// Answer is a generation's result.
+// Answer is the result of a generation.
 type Answer struct {
-	// ID is the answer's name, "cmpl-" and the generation's.
-	ID     string
-	Text   string
-	Tokens int
-	Reason string
-	// Resumes counts how often the client went on at another instance.
-	Resumes    int
+	// ID is "cmpl-" and the ID of the generation.
+	ID           string
+	Text         string
+	Tokens       int
+	FinishReason string
+	// Resumes counts the attempts after a lost connection.
+	Resumes int
+	// FirstToken is the time from the start of the request to the first token.
 	FirstToken time.Duration
 	// LongestGap is the longest time between two tokens.
 	LongestGap time.Duration
-	// Times are when the tokens came.
-	Times []time.Time
+	// TokenTimes are the times at which the tokens arrived.
+	TokenTimes []time.Time
 }
 
-// errLost means that the instance or the connection was lost.
+// errLost means that the connection failed or broke off, or that no address is usable.
 var errLost = errors.New("connection lost")
 
 const (
-	mostTries  = 12
-	pauseFirst = 50 * time.Millisecond
-	pauseMost  = time.Second
-	badFor     = 5 * time.Second
+	maxAttempts    = 12
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
+	avoidFor       = 5 * time.Second
 )
 
-// Generate asks for a generation, and goes on elsewhere as often as needed.
+// Generate runs a generation, with at most maxAttempts attempts. If it fails, the answer holds what
+// was received, and the error is a *Refusal or a lost connection, see IsLost.
 func (c *Client) Generate(ctx context.Context, r Request) (*Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.Deadline)
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	g := &generate{c: c, r: r, began: time.Now(), answer: &Answer{}}
-	pause := pauseFirst
+	g := &generation{c: c, r: r, startedAt: time.Now(), answer: &Answer{}}
+	backoff := initialBackoff
 	var err error
-	for range mostTries {
+	for range maxAttempts {
 		err = g.attempt(ctx)
 		if err == nil {
 			return g.answer, nil
 		}
-		wait, again := g.again(err, pause)
-		if !again || ctx.Err() != nil {
+		wait, retry := g.retryDelay(err, backoff)
+		if !retry || ctx.Err() != nil {
 			return g.answer, err
 		}
-		pause = min(2*pause, pauseMost)
+		backoff = min(2*backoff, maxBackoff)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -137,49 +142,51 @@
 	return g.answer, err
 }
 
-// generate is one generation in progress.
-type generate struct {
-	c      *Client
-	r      Request
-	began  time.Time
-	answer *Answer
-	text   strings.Builder
-	tokens []string
-	cursor string
-	last   time.Time
-	lost   bool
+// generation is one generation in progress.
+type generation struct {
+	c              *Client
+	r              Request
+	startedAt      time.Time
+	answer         *Answer
+	text           strings.Builder
+	tokens         []string
+	cursor         string
+	lastTokenAt    time.Time
+	connectionLost bool
 }
 
-// again tells whether to ask again, and after what pause.
-func (g *generate) again(err error, pause time.Duration) (time.Duration, bool) {
+// retryDelay returns how long to wait before the next attempt, and whether to make one. A lost
+// connection is retried at once, unless there are tokens without a cursor to resume from.
+func (g *generation) retryDelay(err error, backoff time.Duration) (time.Duration, bool) {
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
-		g.lost = true
+		g.connectionLost = true
 		return 0, g.cursor != "" || g.answer.Tokens == 0
 	}
-	if g.r.Once || refusal.RetryAfter == 0 || refusal.Code == "cannot_continue" {
+	if g.r.NoRetry || refusal.RetryAfter == 0 || refusal.Code == "cannot_continue" {
 		return 0, false
 	}
-	return max(pause, refusal.RetryAfter), true
+	return max(backoff, refusal.RetryAfter), true
 }
 
-func (g *generate) attempt(ctx context.Context) error {
-	address, err := g.c.address(ctx)
+// attempt makes one attempt at the best address.
+func (g *generation) attempt(ctx context.Context) error {
+	address, err := g.c.pickAddress(ctx)
 	if err != nil {
 		return err
 	}
-	if g.lost {
-		g.lost = false
+	if g.connectionLost {
+		g.connectionLost = false
 		g.answer.Resumes++
 	}
-	err = g.stream(ctx, address)
+	err = g.openStream(ctx, address)
 	if err != nil {
-		g.c.markBad(address, err)
+		g.c.markFailed(address, err)
 	}
 	return err
 }
 
-func (g *generate) body() []byte {
+func (g *generation) body() []byte {
 	body := map[string]any{
 		"model": g.r.Model, "prompt": g.r.Prompt, "max_tokens": g.r.MaxTokens, "seed": g.r.Seed, "stream": true,
 	}
@@ -193,7 +200,8 @@
 	return raw
 }
 
-func (g *generate) stream(ctx context.Context, address string) error {
+// openStream sends the request to an instance and reads its events until the end of the stream.
+func (g *generation) openStream(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader(g.body()))
@@ -203,18 +211,18 @@
 	h := req.Header
 	h.Set("Authorization", "Bearer "+g.c.opt.Key)
 	h.Set("Content-Type", "application/json")
-	h.Set(pipeline.HeaderDeadline, strconv.FormatInt((g.r.Deadline-time.Since(g.began)).Milliseconds(), 10))
+	h.Set(pipeline.HeaderDeadline, strconv.FormatInt((g.r.Timeout-time.Since(g.startedAt)).Milliseconds(), 10))
 	if g.r.IdempotencyKey != "" {
 		h.Set(pipeline.HeaderIdempotencyKey, g.r.IdempotencyKey)
 	}
 	switch {
 	case g.r.NoCursor:
-		g.restart()
+		g.discardReceived()
 	case g.cursor != "":
 		h.Set(pipeline.HeaderLastEventID, g.cursor)
 	}
-	silence := time.AfterFunc(g.c.opt.Silence, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(g.c.opt.IdleTimeout, cancel)
+	defer idleTimer.Stop()
 	resp, err := g.c.http.Do(req)
 	if err != nil {
 		return errLost
@@ -223,18 +231,19 @@
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
-	return g.read(resp.Body, silence)
+	return g.readEvents(resp.Body, idleTimer)
 }
 
-// restart drops what was received, for a caller that keeps nothing.
-func (g *generate) restart() {
+// discardReceived drops the tokens received so far, see Request.NoCursor.
+func (g *generation) discardReceived() {
 	g.text.Reset()
 	g.tokens = nil
-	g.answer.Tokens, g.answer.Times = 0, nil
+	g.answer.Tokens, g.answer.TokenTimes = 0, nil
 }
 
-// read takes the events of a stream until its end.
-func (g *generate) read(body io.Reader, silence *time.Timer) error {
+// readEvents reads the server-sent events of a stream until its end. Each line resets the idle
+// timer.
+func (g *generation) readEvents(body io.Reader, idleTimer *time.Timer) error {
 	r := bufio.NewReader(body)
 	var id, event string
 	for {
@@ -242,7 +251,7 @@
 		if err != nil {
 			return errLost
 		}
-		silence.Reset(g.c.opt.Silence)
+		idleTimer.Reset(g.c.opt.IdleTimeout)
 		line = strings.TrimRight(line, "\r\n")
 		name, value, _ := strings.Cut(line, ": ")
 		switch name {
@@ -253,7 +262,7 @@
 		case "":
 			event = ""
 		case "data":
-			done, err := g.data(event, id, value)
+			done, err := g.handleData(event, id, value)
 			if done || err != nil {
 				return err
 			}
@@ -261,8 +270,8 @@
 	}
 }
 
-// event is a chunk of the completions protocol.
-type event struct {
+// chunk is an event of the streaming completions protocol.
+type chunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -270,7 +279,8 @@
 	} `json:"choices"`
 }
 
-func (g *generate) data(name, id, value string) (done bool, err error) {
+// handleData handles one data line. It reports whether the stream has ended.
+func (g *generation) handleData(name, id, value string) (done bool, err error) {
 	if name == "error" {
 		return true, parseRefusal([]byte(value), http.StatusOK, nil)
 	}
@@ -278,33 +288,33 @@
 		g.answer.Text = g.text.String()
 		return true, nil
 	}
-	var e event
+	var e chunk
 	if err := json.Unmarshal([]byte(value), &e); err != nil || len(e.Choices) == 0 {
-		return false, nil // nothing for us
+		return false, nil // an event without text
 	}
 	if e.Choices[0].FinishReason != nil {
-		g.answer.Reason = *e.Choices[0].FinishReason
+		g.answer.FinishReason = *e.Choices[0].FinishReason
 		return false, nil
 	}
 	g.cursor, g.answer.ID = id, e.ID
-	g.token(e.Choices[0].Text)
+	g.addToken(e.Choices[0].Text)
 	return false, nil
 }
 
-func (g *generate) token(text string) {
+func (g *generation) addToken(text string) {
 	now := time.Now()
 	if g.answer.Tokens == 0 {
-		g.answer.FirstToken = now.Sub(g.began)
+		g.answer.FirstToken = now.Sub(g.startedAt)
 	} else {
-		g.answer.LongestGap = max(g.answer.LongestGap, now.Sub(g.last))
+		g.answer.LongestGap = max(g.answer.LongestGap, now.Sub(g.lastTokenAt))
 	}
-	g.last = now
+	g.lastTokenAt = now
 	g.answer.Tokens++
-	g.answer.Times = append(g.answer.Times, now)
+	g.answer.TokenTimes = append(g.answer.TokenTimes, now)
 	g.text.WriteString(text)
 	g.tokens = append(g.tokens, text)
 	g.answer.Text = g.text.String()
-	if g.r.Token != nil {
-		g.r.Token(text)
+	if g.r.OnToken != nil {
+		g.r.OnToken(text)
 	}
 }
--- a/cli/caller/entry.go
+++ b/cli/caller/entry.go
@@ -29,64 +29,70 @@
 	return &e, nil
 }
 
-// address returns the address to use now: the best known one that did not fail lately.
-func (c *Client) address(ctx context.Context) (string, error) {
+// pickAddress returns the first address that did not fail lately, known addresses before entries.
+// If all have failed it returns errLost and forgets the failures, so that the next call tries them
+// again.
+func (c *Client) pickAddress(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.opt.Fixed && time.Now().After(c.until) {
-		c.refresh(ctx)
+	if !c.opt.FixedEntries && time.Now().After(c.addressesExpireAt) {
+		c.refreshAddresses(ctx)
 	}
-	for _, list := range [][]string{c.known, c.opt.Entries} {
+	for _, list := range [][]string{c.addresses, c.opt.Entries} {
 		for _, a := range list {
-			if time.Now().After(c.bad[a]) {
-				c.rotate(a)
+			if time.Now().After(c.avoidUntil[a]) {
+				c.moveToEnd(a)
 				return a, nil
 			}
 		}
 	}
-	c.until, c.bad = time.Time{}, map[string]time.Time{} // all failed: try them again
+	c.addressesExpireAt, c.avoidUntil = time.Time{}, map[string]time.Time{} // all failed: allow all again
 	return "", errLost
 }
 
-// rotate moves an address that was given out to the end, so that one client's requests
-// spread over the fleet.
-func (c *Client) rotate(address string) {
-	for i, a := range c.known {
+// moveToEnd moves an address that was picked to the end, so that the requests of one client spread
+// over the fleet. The lock is held.
+func (c *Client) moveToEnd(address string) {
+	for i, a := range c.addresses {
 		if a == address {
-			c.known = append(append(c.known[:i:i], c.known[i+1:]...), a)
+			c.addresses = append(append(c.addresses[:i:i], c.addresses[i+1:]...), a)
 			return
 		}
 	}
 }
 
-func (c *Client) refresh(ctx context.Context) {
+// refreshAddresses asks the known addresses and the entries, one after the other, which addresses
+// to use, and takes the first answer. The lock is held.
+func (c *Client) refreshAddresses(ctx context.Context) {
 	const timeout = time.Second
-	for _, a := range append(append([]string(nil), c.known...), c.opt.Entries...) {
-		if time.Now().Before(c.bad[a]) {
+	for _, a := range append(append([]string(nil), c.addresses...), c.opt.Entries...) {
+		if time.Now().Before(c.avoidUntil[a]) {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, timeout)
 		e, err := c.Entry(callCtx, a)
 		cancel()
 		if err != nil || len(e.Addresses) == 0 {
-			c.bad[a] = time.Now().Add(badFor)
+			c.avoidUntil[a] = time.Now().Add(avoidFor)
 			continue
 		}
-		c.known = c.known[:0]
+		c.addresses = c.addresses[:0]
 		for _, x := range e.Addresses {
-			c.known = append(c.known, x.Address)
+			c.addresses = append(c.addresses, x.Address)
 		}
-		c.until = time.Now().Add(time.Duration(e.TTLSeconds * float64(time.Second)))
+		c.addressesExpireAt = time.Now().Add(time.Duration(e.TTLSeconds * float64(time.Second)))
 		return
 	}
 }
 
-func (c *Client) markBad(address string, err error) {
+// markFailed avoids an address for avoidFor. An instance that refuses a request is not avoided,
+// unless it is draining.
+func (c *Client) markFailed(address string, err error) {
 	var refusal *Refusal
 	if errors.As(err, &refusal) && refusal.Code != "draining" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bad[address] = time.Now().Add(badFor)
+	c.avoidUntil[address] = time.Now().Add(avoidFor)
 }
--- a/cli/caller/plain.go
+++ b/cli/caller/plain.go
@@ -14,31 +14,32 @@
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
-// PlainRequest is a call to a plain service.
+// PlainRequest describes a call to a plain service.
 type PlainRequest struct {
 	Service, Method, Path string
 	Body                  []byte
-	// Ticket or IdempotencyKey make the call run at most once; empty for none.
+	// Ticket or IdempotencyKey makes the call run at most once; empty for none.
 	Ticket, IdempotencyKey string
-	Deadline               time.Duration
+	Timeout                time.Duration
 }
 
-// PlainAnswer is a plain service's answer.
+// PlainAnswer is the answer of a plain service. Ran is what the system says about whether the call
+// ran.
 type PlainAnswer struct {
 	Status int
 	Body   []byte
 	Ran    string
 }
 
-// Ticket asks for a ticket.
+// Ticket gets a ticket, under which a call runs at most once.
 func (c *Client) Ticket(ctx context.Context) (string, error) {
-	address, err := c.address(ctx)
+	address, err := c.pickAddress(ctx)
 	if err != nil {
 		return "", err
 	}
 	resp, err := c.send(ctx, http.MethodPost, "http://"+address+"/v1/tickets", nil, nil)
 	if err != nil {
-		c.markBad(address, err)
+		c.markFailed(address, err)
 		return "", errLost
 	}
 	defer resp.Body.Close()
@@ -50,18 +51,18 @@
 	return t.Ticket, err
 }
 
-// AskTicket asks what became of a call under a ticket.
-func (c *Client) AskTicket(ctx context.Context, ticket string) (*PlainAnswer, error) {
-	address, err := c.address(ctx)
+// TicketOutcome returns the outcome of the call under a ticket.
+func (c *Client) TicketOutcome(ctx context.Context, ticket string) (*PlainAnswer, error) {
+	address, err := c.pickAddress(ctx)
 	if err != nil {
 		return nil, err
 	}
 	resp, err := c.send(ctx, http.MethodGet, "http://"+address+"/v1/tickets/"+ticket, nil, nil)
 	if err != nil {
-		c.markBad(address, err)
+		c.markFailed(address, err)
 		return nil, errLost
 	}
-	return readPlain(resp)
+	return readPlainAnswer(resp)
 }
 
 func (c *Client) send(ctx context.Context, method, url string, body []byte, header map[string]string) (*http.Response, error) {
@@ -79,27 +80,28 @@
 	return c.http.Do(req)
 }
 
-// Plain makes a call once. It does not ask again by itself: whether that is safe depends
-// on the call.
-func (c *Client) Plain(ctx context.Context, r PlainRequest) (*PlainAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.Deadline)
+// CallPlain sends a call once. It never retries: whether that is safe depends on the call.
+func (c *Client) CallPlain(ctx context.Context, r PlainRequest) (*PlainAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	address, err := c.address(ctx)
+	address, err := c.pickAddress(ctx)
 	if err != nil {
 		return nil, err
 	}
 	resp, err := c.send(ctx, r.Method, "http://"+address+"/v1/services/"+r.Service+r.Path, r.Body, map[string]string{
 		pipeline.HeaderTicket: r.Ticket, pipeline.HeaderIdempotencyKey: r.IdempotencyKey,
-		pipeline.HeaderDeadline: strconv.FormatInt(r.Deadline.Milliseconds(), 10),
+		pipeline.HeaderDeadline: strconv.FormatInt(r.Timeout.Milliseconds(), 10),
 	})
 	if err != nil {
-		c.markBad(address, errLost)
+		c.markFailed(address, errLost)
 		return nil, errLost
 	}
-	return readPlain(resp)
+	return readPlainAnswer(resp)
 }
 
-func readPlain(resp *http.Response) (*PlainAnswer, error) {
+// readPlainAnswer reads an answer. An error status is a refusal, unless the call ran: then it is the
+// service's own answer.
+func readPlainAnswer(resp *http.Response) (*PlainAnswer, error) {
 	defer resp.Body.Close()
 	ran := resp.Header.Get(pipeline.HeaderRan)
 	if resp.StatusCode >= http.StatusBadRequest && ran != "ran" {
@@ -112,5 +114,5 @@
 	return &PlainAnswer{Status: resp.StatusCode, Body: raw, Ran: ran}, nil
 }
 
-// Lost tells whether an error means that the answer was lost on the way.
-func Lost(err error) bool { return errors.Is(err, errLost) }
+// IsLost reports whether err means that the connection was lost, so that the outcome is not known.
+func IsLost(err error) bool { return errors.Is(err, errLost) }
--- a/cli/command/call.go
+++ b/cli/command/call.go
@@ -28,7 +28,7 @@
 	f.IntVar(&r.MaxTokens, "max-tokens", 256, "most tokens")
 	f.Int64Var(&r.Seed, "seed", 0, "sampling seed")
 	f.StringVar(&r.IdempotencyKey, "idempotency-key", "", "lets the request be asked again")
-	f.DurationVar(&r.Deadline, "deadline", time.Minute, "time for the whole answer")
+	f.DurationVar(&r.Timeout, "deadline", time.Minute, "time for the whole answer")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		r.Prompt = args[0]
 		if r.Prompt == "-" {
@@ -40,13 +40,13 @@
 		}
 		w := cmd.OutOrStdout()
 		if o.output != outputJSON {
-			r.Token = func(text string) { _, _ = fmt.Fprint(w, text) }
+			r.OnToken = func(text string) { _, _ = fmt.Fprint(w, text) }
 		}
 		a, err := o.client().Generate(cmd.Context(), r)
 		if err != nil {
 			return err
 		}
-		return o.print(w, askOutput{a.Text, a.Tokens, a.Reason, a.Resumes, a.FirstToken.Milliseconds()}, func() error {
+		return o.print(w, askOutput{a.Text, a.Tokens, a.FinishReason, a.Resumes, a.FirstToken.Milliseconds()}, func() error {
 			_, err := fmt.Fprintln(w)
 			return err
 		})
--- a/cli/demo/demo.go
+++ b/cli/demo/demo.go
@@ -197,8 +197,8 @@
 func (d *demo) generate(ctx context.Context, i int) {
 	prompt := load.Prompt(i, 400)
 	r := caller.Request{
-		Model: d.generations.Name, Prompt: prompt, MaxTokens: d.Tokens, Seed: int64(i), Deadline: deadline,
-		IdempotencyKey: fmt.Sprintf("demo-%d", i), Token: func(string) { d.tokens.Add(1) },
+		Model: d.generations.Name, Prompt: prompt, MaxTokens: d.Tokens, Seed: int64(i), Timeout: deadline,
+		IdempotencyKey: fmt.Sprintf("demo-%d", i), OnToken: func(string) { d.tokens.Add(1) },
 	}
 	a, err := d.client(i).Generate(ctx, r)
 	want := engine.ExpectedText(load.StartRequest(d.generations, prompt, d.Tokens, int64(i)))
@@ -209,25 +209,25 @@
 func (d *demo) call(ctx context.Context, i int) {
 	c := d.client(i)
 	if i%2 == 0 {
-		a, err := c.Plain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Deadline: deadline})
-		if caller.Lost(err) { // the instance died: a read may be asked again
-			a, err = c.Plain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Deadline: deadline})
+		a, err := c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: deadline})
+		if caller.IsLost(err) { // the instance died: a read may be asked again
+			a, err = c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: deadline})
 		}
 		d.tally.Call(a, err, fmt.Sprintf("/status/%d", i))
 		return
 	}
 	ticket, err := c.Ticket(ctx)
-	if caller.Lost(err) {
+	if caller.IsLost(err) {
 		ticket, err = c.Ticket(ctx)
 	}
 	if err != nil {
 		d.tally.Call(nil, err, "")
 		return
 	}
-	r := caller.PlainRequest{Service: d.plain.Name, Method: "POST", Path: "/callbacks", Body: fmt.Appendf(nil, "callback-%d", i), Ticket: ticket, Deadline: deadline}
-	a, err := c.Plain(ctx, r)
-	if caller.Lost(err) {
-		a, err = c.Plain(ctx, r) // the ticket makes it safe
+	r := caller.PlainRequest{Service: d.plain.Name, Method: "POST", Path: "/callbacks", Body: fmt.Appendf(nil, "callback-%d", i), Ticket: ticket, Timeout: deadline}
+	a, err := c.CallPlain(ctx, r)
+	if caller.IsLost(err) {
+		a, err = c.CallPlain(ctx, r) // the ticket makes it safe
 	}
 	d.tally.Call(a, err, fmt.Sprintf("callback-%d", i))
 }
--- a/cli/e2e/crashes_test.go
+++ b/cli/e2e/crashes_test.go
@@ -49,7 +49,7 @@
 		for i := range 15 {
 			work.Go(func() {
 				r := w.request(20)
-				r.Prompt, r.Deadline = fatal, 20*time.Second
+				r.Prompt, r.Timeout = fatal, 20*time.Second
 				ctx, cancel := context.WithTimeout(w.ctx(), 20*time.Second)
 				defer cancel()
 				_, err := w.client(i).Generate(ctx, r)
--- a/cli/e2e/once_test.go
+++ b/cli/e2e/once_test.go
@@ -27,13 +27,13 @@
 
 // only returns a caller that knows one instance.
 func (w *world) only(i int) *caller.Client {
-	return caller.New(caller.Options{Entries: []string{w.gateways[i].Callers}, Key: teamKey, Network: w.net.Node("caller"), Fixed: true})
+	return caller.New(caller.Options{Entries: []string{w.gateways[i].Callers}, Key: teamKey, Network: w.net.Node("caller"), FixedEntries: true})
 }
 
 func logLift(ticket, key string) caller.PlainRequest {
 	return caller.PlainRequest{
 		Service: "queue-app", Method: http.MethodPost, Path: "/lifts", Body: []byte("squat 100"), Ticket: ticket, IdempotencyKey: key,
-		Deadline: 5 * time.Second,
+		Timeout: 5 * time.Second,
 	}
 }
 
@@ -52,7 +52,7 @@
 
 func TestPlainCall(t *testing.T) {
 	run(t, shape{gateways: 2, engines: 1, services: 3}, func(w *world) {
-		a, err := w.client(0).Plain(w.ctx(), caller.PlainRequest{Service: "queue-app", Method: http.MethodGet, Path: "/status/7?x=1", Deadline: time.Second})
+		a, err := w.client(0).CallPlain(w.ctx(), caller.PlainRequest{Service: "queue-app", Method: http.MethodGet, Path: "/status/7?x=1", Timeout: time.Second})
 		assert.NilError(t, err)
 		assert.Equal(t, a.Status, 200)
 		assert.Assert(t, strings.Contains(string(a.Body), `"/status/7"`))
@@ -87,7 +87,7 @@
 				}
 				for i := range 8 {
 					path := fmt.Sprint("/status/", i)
-					a, err := w.client(0).Plain(w.ctx(), caller.PlainRequest{Service: "queue-app", Method: http.MethodGet, Path: path, Deadline: 5 * time.Second})
+					a, err := w.client(0).CallPlain(w.ctx(), caller.PlainRequest{Service: "queue-app", Method: http.MethodGet, Path: path, Timeout: 5 * time.Second})
 					assert.Equal(t, ran(err), c.read)
 					assert.Assert(t, strings.Contains(string(a.Body), path))
 				}
@@ -95,7 +95,7 @@
 					time.Sleep(20 * time.Second) // suspicion is over: the faulty ones are tried again
 					r := logLift("", "")
 					r.Body = fmt.Appendf(nil, "lift %d", i)
-					_, err := w.client(0).Plain(w.ctx(), r)
+					_, err := w.client(0).CallPlain(w.ctx(), r)
 					assert.Assert(t, strings.Contains(c.write, ran(err)), ran(err))
 					n := w.runs("POST /lifts " + string(r.Body))
 					assert.Assert(t, n <= 1, "ran %d times", n)
@@ -117,14 +117,14 @@
 		_, err := w.gateways[0].Config.PutTeam(w.ctx(), team, 1, "limit")
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		get := caller.PlainRequest{Service: "queue-app", Method: http.MethodGet, Path: "/status/1", Deadline: time.Second}
+		get := caller.PlainRequest{Service: "queue-app", Method: http.MethodGet, Path: "/status/1", Timeout: time.Second}
 		w.services[0].SetFault(plain.Fault{Truncate: true})
 		for range 3 {
-			_, err := w.only(0).Plain(w.ctx(), get)
-			assert.Assert(t, caller.Lost(err), "%v", err)
+			_, err := w.only(0).CallPlain(w.ctx(), get)
+			assert.Assert(t, caller.IsLost(err), "%v", err)
 		}
 		w.services[0].SetFault(plain.Fault{})
-		_, err = w.only(0).Plain(w.ctx(), get)
+		_, err = w.only(0).CallPlain(w.ctx(), get)
 		assert.NilError(t, err)
 		assert.Equal(t, w.gateways[0].Pipeline.OpenRequests(), int64(0))
 	})
@@ -138,22 +138,22 @@
 		var wg sync.WaitGroup
 		for i := range 6 { // at once, at all instances
 			wg.Go(func() {
-				a, err := w.only(i%3).Plain(w.ctx(), logLift(ticket, ""))
+				a, err := w.only(i%3).CallPlain(w.ctx(), logLift(ticket, ""))
 				assert.NilError(t, err)
 				assert.Assert(t, strings.Contains(string(a.Body), "squat 100"))
 			})
 		}
 		wg.Wait()
 		assert.Equal(t, w.runs(lift), 1)
-		a, err := w.only(2).AskTicket(w.ctx(), ticket)
+		a, err := w.only(2).TicketOutcome(w.ctx(), ticket)
 		assert.NilError(t, err)
 		assert.Equal(t, a.Ran, "ran")
 		other := logLift(ticket, "")
 		other.Body = []byte("squat 200")
-		_, err = w.only(1).Plain(w.ctx(), other)
+		_, err = w.only(1).CallPlain(w.ctx(), other)
 		assert.Equal(t, ran(err), "idempotency_mismatch/not_run")
 		for _, bad := range []string{"x", ticket[1:], ticket + "A"} {
-			_, err = w.only(1).Plain(w.ctx(), logLift(bad, ""))
+			_, err = w.only(1).CallPlain(w.ctx(), logLift(bad, ""))
 			assert.Equal(t, ran(err), "bad_ticket/not_run")
 		}
 	})
@@ -164,10 +164,10 @@
 	run(t, shape{gateways: 3, engines: 1, services: 2}, func(w *world) {
 		ticket, err := w.only(0).Ticket(w.ctx())
 		assert.NilError(t, err)
-		_, err = w.only(1).AskTicket(w.ctx(), ticket)
+		_, err = w.only(1).TicketOutcome(w.ctx(), ticket)
 		assert.Equal(t, ran(err), "unavailable/not_run")
 		for i := range 3 {
-			_, err = w.only(i).Plain(w.ctx(), logLift(ticket, ""))
+			_, err = w.only(i).CallPlain(w.ctx(), logLift(ticket, ""))
 			assert.Equal(t, ran(err), "unavailable/not_run")
 		}
 		assert.Equal(t, w.runs(lift), 0)
@@ -207,12 +207,12 @@
 				if c.before != nil {
 					c.before(w)
 				}
-				_, first := w.only(1).Plain(w.ctx(), logLift(ticket, ""))
+				_, first := w.only(1).CallPlain(w.ctx(), logLift(ticket, ""))
 				assert.Assert(t, strings.Contains(c.first, ran(first)), "first: %s", ran(first))
 				if c.after != nil {
 					c.after(w)
 				}
-				_, second := w.only(2).Plain(w.ctx(), logLift(ticket, ""))
+				_, second := w.only(2).CallPlain(w.ctx(), logLift(ticket, ""))
 				assert.Assert(t, strings.Contains(c.second, ran(second)), "second: %s", ran(second))
 				time.Sleep(10 * time.Second)
 				n := w.runs(lift)
@@ -250,13 +250,13 @@
 			return 0
 		})
 		r := logLift(ticket, "")
-		r.Deadline = 300 * time.Millisecond
-		_, err = w.only(0).Plain(w.ctx(), r)
+		r.Timeout = 300 * time.Millisecond
+		_, err = w.only(0).CallPlain(w.ctx(), r)
 		assert.Assert(t, err != nil)
 		time.Sleep(time.Second)
 		w.heal()
 		time.Sleep(10 * time.Second)
-		_, err = w.only(1).AskTicket(w.ctx(), ticket)
+		_, err = w.only(1).TicketOutcome(w.ctx(), ticket)
 		assert.Assert(t, strings.HasSuffix(ran(err), "not_run"), ran(err))
 		assert.Equal(t, w.runs(lift), 0)
 	})
@@ -288,13 +288,13 @@
 				if c.before != nil {
 					c.before(w)
 				}
-				_, err := w.only(0).Plain(w.ctx(), logLift("", "key"))
+				_, err := w.only(0).CallPlain(w.ctx(), logLift("", "key"))
 				assert.Equal(t, ran(err), c.first, "first")
 				time.Sleep(time.Second)
 				if c.after != nil {
 					c.after(w)
 				}
-				_, err = w.only(1).Plain(w.ctx(), logLift("", "key"))
+				_, err = w.only(1).CallPlain(w.ctx(), logLift("", "key"))
 				assert.Equal(t, ran(err), c.second, "second")
 				assert.Equal(t, w.runs(lift), c.runs)
 			})
@@ -309,7 +309,7 @@
 		var wg sync.WaitGroup
 		for i := range 9 {
 			wg.Go(func() {
-				_, err := w.only(i%3).Plain(w.ctx(), logLift("", "key"))
+				_, err := w.only(i%3).CallPlain(w.ctx(), logLift("", "key"))
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[ran(err)]++
@@ -330,17 +330,17 @@
 	run(t, shape{gateways: 2, engines: 1, services: 1}, func(w *world) {
 		ticket, err := w.only(0).Ticket(w.ctx())
 		assert.NilError(t, err)
-		_, err = w.only(0).Plain(w.ctx(), logLift(ticket, ""))
+		_, err = w.only(0).CallPlain(w.ctx(), logLift(ticket, ""))
 		assert.NilError(t, err)
 		w.gateways[1].Pipeline.Drain()
 		for want, r := range map[string]caller.PlainRequest{
 			"draining/unknown": logLift(ticket, ""),
 			"draining/not_run": logLift("", ""),
 		} {
-			_, err = w.only(1).Plain(w.ctx(), r)
+			_, err = w.only(1).CallPlain(w.ctx(), r)
 			assert.Equal(t, ran(err), want)
 		}
-		_, err = w.only(1).Plain(w.ctx(), logLift("", "key"))
+		_, err = w.only(1).CallPlain(w.ctx(), logLift("", "key"))
 		assert.Equal(t, ran(err), "draining/unknown")
 	})
 }
@@ -359,10 +359,10 @@
 		time.Sleep(time.Second)
 		ticket, err := w.only(0).Ticket(w.ctx())
 		assert.NilError(t, err)
-		_, err = w.only(1).Plain(w.ctx(), logLift(ticket, ""))
+		_, err = w.only(1).CallPlain(w.ctx(), logLift(ticket, ""))
 		assert.NilError(t, err)
 		w.gateways[0].Drain(w.ctx())
-		_, err = w.only(2).Plain(w.ctx(), logLift(ticket, ""))
+		_, err = w.only(2).CallPlain(w.ctx(), logLift(ticket, ""))
 		assert.Equal(t, ran(err), "ok")
 		assert.Equal(t, w.runs(lift), 1)
 		<-done
--- a/cli/e2e/queue_test.go
+++ b/cli/e2e/queue_test.go
@@ -60,7 +60,7 @@
 		for i := range 8 { // each takes six seconds, two at a time
 			wg.Go(func() {
 				r := w.request(300)
-				r.Prompt, r.Deadline = fmt.Sprint(i), 100*time.Second
+				r.Prompt, r.Timeout = fmt.Sprint(i), 100*time.Second
 				a, err := w.client(0).Generate(w.ctx(), r)
 				w.check(r, a, err)
 				assert.Equal(t, a.Resumes, 0)
--- a/cli/e2e/recovery_test.go
+++ b/cli/e2e/recovery_test.go
@@ -230,7 +230,7 @@
 func TestCallerGone(t *testing.T) {
 	run(t, shape{gateways: 1, engines: 2, policy: "frugal"}, func(w *world) {
 		r := w.request(5000)
-		r.Deadline = time.Second
+		r.Timeout = time.Second
 		_, err := w.client(0).Generate(w.ctx(), r)
 		assert.Assert(t, err != nil)
 		time.Sleep(10 * time.Second)
@@ -301,7 +301,7 @@
 			}}
 			run(t, s, func(w *world) {
 				r := w.request(60)
-				r.SendTokens, r.Deadline = true, 8*time.Second
+				r.SendTokens, r.Timeout = true, 8*time.Second
 				for _, e := range w.engines[c.ones:] {
 					e.SetFault(engine.Fault{Refuse: true}) // so that version 1 serves first
 				}
--- a/cli/e2e/world_test.go
+++ b/cli/e2e/world_test.go
@@ -235,7 +235,7 @@
 }
 
 func (w *world) request(tokens int) caller.Request {
-	return caller.Request{Model: "brief-llm", Prompt: prompt, MaxTokens: tokens, Seed: 7, Deadline: 50 * time.Second}
+	return caller.Request{Model: "brief-llm", Prompt: prompt, MaxTokens: tokens, Seed: 7, Timeout: 50 * time.Second}
 }
 
 // check compares an answer with the right one.
--- a/cli/load/load.go
+++ b/cli/load/load.go
@@ -131,11 +131,11 @@
 	if a == nil || faults == nil || t.Resume == nil {
 		return
 	}
-	for i := 1; i < len(a.Times); i++ {
-		if a.Times[i].Sub(a.Times[i-1]) < noticeable {
+	for i := 1; i < len(a.TokenTimes); i++ {
+		if a.TokenTimes[i].Sub(a.TokenTimes[i-1]) < noticeable {
 			continue
 		}
-		if d, hit := faults.between(a.Times[i-1], a.Times[i]); hit {
+		if d, hit := faults.between(a.TokenTimes[i-1], a.TokenTimes[i]); hit {
 			_ = t.Resume.RecordValue(max(d.Milliseconds(), 1))
 		}
 	}
