--- a/cli/bench/bench.go
+++ b/cli/bench/bench.go
@@ -225,7 +225,7 @@
 	began := time.Now()
 	a, err := c.Generate(ctx, q)
 	want := engine.ExpectedText(load.StartRequest(r.dep, q.Prompt, q.MaxTokens, q.Seed))
-	r.tally.Generation(a, err, want, tokens, nil)
+	r.tally.RecordGeneration(a, err, want, tokens, nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, a)
@@ -322,7 +322,7 @@
 	rep.work(&r.profile, st, r.delivered)
 	rep.Elsewhere = st.Streams - int64(rep.Sent)
 	rep.Complete, rep.Refused, rep.Lost, rep.Failures = t.Complete, t.Refused, t.Lost, t.Failures
-	rep.Wrong = t.Wrong + t.Missing + t.Repeated
+	rep.Wrong = t.Wrong + t.MissingTokens + t.RepeatedTokens
 	rep.Resume, rep.BeyondPrefill = quantiles(resume), quantiles(beyond)
 	rep.FirstToken, rep.Refusal = quantiles(t.FirstToken), quantiles(t.Refusal)
 }
--- a/cli/demo/demo.go
+++ b/cli/demo/demo.go
@@ -55,7 +55,7 @@
 	key         string
 	generations *operatorv1.Deployment
 	plain       *operatorv1.Deployment
-	work        *load.Work
+	work        *load.EngineWork
 	tokens      atomic.Int64
 	faults      load.Faults
 	tally       load.Tally
@@ -66,7 +66,7 @@
 
 // Run does it all and prints one line at the end.
 func Run(ctx context.Context, cfg Config) error {
-	d := &demo{Config: cfg, key: pipeline.TeamKeyPrefix + "almaty-desk_" + uuid.NewString(), work: load.NewWork(cfg.Engines)}
+	d := &demo{Config: cfg, key: pipeline.TeamKeyPrefix + "almaty-desk_" + uuid.NewString(), work: load.NewEngineWork(cfg.Engines)}
 	d.tally.Resume = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	if err := d.setup(ctx); err != nil {
 		return err
@@ -202,7 +202,7 @@
 	}
 	a, err := d.client(i).Generate(ctx, r)
 	want := engine.ExpectedText(load.StartRequest(d.generations, prompt, d.Tokens, int64(i)))
-	d.tally.Generation(a, err, want, d.Tokens, &d.faults)
+	d.tally.RecordGeneration(a, err, want, d.Tokens, &d.faults)
 }
 
 // call makes every second call a non-idempotent one under a ticket.
@@ -213,7 +213,7 @@
 		if caller.IsLost(err) { // the instance died: a read may be asked again
 			a, err = c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: deadline})
 		}
-		d.tally.Call(a, err, fmt.Sprintf("/status/%d", i))
+		d.tally.RecordCall(a, err, fmt.Sprintf("/status/%d", i))
 		return
 	}
 	ticket, err := c.Ticket(ctx)
@@ -221,7 +221,7 @@
 		ticket, err = c.Ticket(ctx)
 	}
 	if err != nil {
-		d.tally.Call(nil, err, "")
+		d.tally.RecordCall(nil, err, "")
 		return
 	}
 	r := caller.PlainRequest{Service: d.plain.Name, Method: "POST", Path: "/callbacks", Body: fmt.Appendf(nil, "callback-%d", i), Ticket: ticket, Timeout: deadline}
@@ -229,7 +229,7 @@
 	if caller.IsLost(err) {
 		a, err = c.CallPlain(ctx, r) // the ticket makes it safe
 	}
-	d.tally.Call(a, err, fmt.Sprintf("callback-%d", i))
+	d.tally.RecordCall(a, err, fmt.Sprintf("callback-%d", i))
 }
 
 // bringFaults kills and freezes processes while answers are in flight.
@@ -275,9 +275,9 @@
 	ideal := int64(d.Generations) * int64(d.Tokens+load.PromptTokens(400))
 	extra := 100 * (float64(d.work.Total())/float64(ideal) - 1)
 	_, _ = fmt.Fprintf(d.Out, "demo: sent=%d complete=%d refused=%d wrong=%d missing_tokens=%d repeated_tokens=%d ran_twice=%d resume_ms_p50=%d resume_ms_p99=%d extra_work_pct=%.2f\n",
-		d.Generations+d.Calls, t.Complete, t.Refused, t.Wrong, t.Missing, t.Repeated, twice,
+		d.Generations+d.Calls, t.Complete, t.Refused, t.Wrong, t.MissingTokens, t.RepeatedTokens, twice,
 		resume.ValueAtPercentile(50), resume.ValueAtPercentile(99), extra)
-	if t.Wrong+t.Missing+t.Repeated+twice > 0 || t.Complete+t.Refused != d.Generations+d.Calls {
+	if t.Wrong+t.MissingTokens+t.RepeatedTokens+twice > 0 || t.Complete+t.Refused != d.Generations+d.Calls {
 		for _, f := range t.Failures {
 			d.say("failure: %s", f)
 		}
--- a/cli/load/load.go
+++ b/cli/load/load.go
@@ -1,5 +1,5 @@
-// Package load holds what the demo and the load tool share: prompts, the check of every
-// answer, the measure of resume latency, and the count of work done by the engines.
+// Package load holds what the demo and the benchmark share. It makes prompts, checks every answer,
+// measures resume latency, and sums up the work that the simulated engines did.
 package load
 
 import (
@@ -20,40 +20,42 @@
 	"github.com/agateway/agateway/gateway/endpoint"
 )
 
-// Prompt returns prompt i, of about n tokens. Prompts share no prefix.
+// Prompt returns prompt i, n tokens long. Prompts of different i share no cached prefix.
 func Prompt(i, n int) string {
 	return (fmt.Sprintf("case %d: ", i) + strings.Repeat(fmt.Sprintf("%03d ", i%1000), n))[:n*endpoint.BytesPerToken]
 }
 
-// PromptTokens returns the length of such a prompt in tokens.
+// PromptTokens returns the length of Prompt(i, n) in tokens.
 func PromptTokens(n int) int { return n }
 
-// StartRequest returns what an engine is asked for a deployment's request.
+// StartRequest returns the request that an engine gets for a generation of a deployment, without its
+// generation ID and attempt.
 func StartRequest(d *operatorv1.Deployment, prompt string, tokens int, seed int64) *endpoint.StartRequest {
 	return &endpoint.StartRequest{Model: d.GetModel(), Version: d.GetVersion(), Prompt: prompt, MaxTokens: tokens, Seed: seed}
 }
 
-// Faults are the times at which faults were brought about.
+// Faults are the times of injected faults. It is safe for concurrent use.
 type Faults struct {
-	mu sync.Mutex
-	at []time.Time
+	mu    sync.Mutex
+	times []time.Time
 }
 
-// Add notes a fault.
+// Add records a fault at time t.
 func (f *Faults) Add(t time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at = append(f.at, t)
+	f.times = append(f.times, t)
 }
 
-// noticeable is the gap between tokens from which a fault is taken to have hit an answer.
-const noticeable = 100 * time.Millisecond
+// minFaultGap is the shortest gap between two tokens that is attributed to a fault.
+const minFaultGap = 100 * time.Millisecond
 
-// between returns the time from a fault to the next token, where a fault lies in a gap.
-func (f *Faults) between(before, after time.Time) (time.Duration, bool) {
+// resumeTime returns the time from a fault to the next token, for a gap between the tokens at
+// before and after. It reports false if no fault was injected in the gap.
+func (f *Faults) resumeTime(before, after time.Time) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, t := range f.at {
+	for _, t := range f.times {
 		if !t.Before(before) && t.Before(after) {
 			return after.Sub(t), true
 		}
@@ -61,37 +63,42 @@
 	return 0, false
 }
 
-// Tally counts the outcomes. It is safe for concurrent use.
+// Tally counts the outcomes of requests. Its methods are safe for concurrent use. MissingTokens and
+// RepeatedTokens are in tokens, the other counts in requests.
 type Tally struct {
-	mu                                          sync.Mutex
-	Complete, Refused, Wrong, Missing, Repeated int
+	mu                                                      sync.Mutex
+	Complete, Refused, Wrong, MissingTokens, RepeatedTokens int
 	// Lost counts requests that ended in neither an answer nor a refusal.
 	Lost int
-	// Resume is the time from a fault to the next token, in milliseconds, for the answers
-	// that a fault held up.
+	// Resume is the time from a fault to the next token, in milliseconds, for the answers that a
+	// fault delayed; nil to measure none.
 	Resume *hdrhistogram.Histogram
-	// FirstToken in milliseconds, where wanted.
+	// FirstToken is the time from the start of a request to its first token, in milliseconds; nil to
+	// measure none.
 	FirstToken *hdrhistogram.Histogram
-	// Refusal is how long a refused request waited for its refusal, in milliseconds.
-	Refusal  *hdrhistogram.Histogram
+	// Refusal is how long a refused request waited for its refusal, in milliseconds. The benchmark
+	// records it.
+	Refusal *hdrhistogram.Histogram
+	// Failures describes the first maxFailures failures.
 	Failures []string
 }
 
-const mostFailures = 20
+const maxFailures = 20
 
-func (t *Tally) note(format string, args ...any) {
-	if len(t.Failures) < mostFailures {
+func (t *Tally) addFailure(format string, args ...any) {
+	if len(t.Failures) < maxFailures {
 		t.Failures = append(t.Failures, fmt.Sprintf(format, args...))
 	}
 }
 
-// Generation checks a generation's outcome against the right answer.
-func (t *Tally) Generation(a *caller.Answer, err error, want string, tokens int, faults *Faults) {
+// RecordGeneration compares a generation's outcome with the expected text, want, and its length in
+// tokens. faults may be nil.
+func (t *Tally) RecordGeneration(a *caller.Answer, err error, want string, tokens int, faults *Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.resumes(a, faults)
+	t.recordResumes(a, faults)
 	if err != nil {
-		t.failed(a, err, want)
+		t.recordFailure(a, err, want)
 		return
 	}
 	if t.FirstToken != nil {
@@ -101,48 +108,50 @@
 	case a.Text == want:
 		t.Complete++
 	case a.Tokens < tokens:
-		t.Missing += tokens - a.Tokens
-		t.note("%d tokens instead of %d", a.Tokens, tokens)
+		t.MissingTokens += tokens - a.Tokens
+		t.addFailure("%d tokens instead of %d", a.Tokens, tokens)
 	case a.Tokens > tokens:
-		t.Repeated += a.Tokens - tokens
-		t.note("%d tokens instead of %d", a.Tokens, tokens)
+		t.RepeatedTokens += a.Tokens - tokens
+		t.addFailure("%d tokens instead of %d", a.Tokens, tokens)
 	default:
 		t.Wrong++
-		t.note("another text")
+		t.addFailure("another text")
 	}
 }
 
-// failed checks that what a refused request did receive is right.
-func (t *Tally) failed(a *caller.Answer, err error, want string) {
+// recordFailure counts a generation that failed, as wrong too if it was refused and what it had
+// received is not a prefix of the expected text.
+func (t *Tally) recordFailure(a *caller.Answer, err error, want string) {
 	var refusal *caller.Refusal
 	if !errors.As(err, &refusal) {
 		t.Lost++
-		t.note("lost after %d tokens: %v", a.Tokens, err)
+		t.addFailure("lost after %d tokens: %v", a.Tokens, err)
 		return
 	}
 	t.Refused++
-	t.note("refused after %d tokens: %v", a.Tokens, err)
+	t.addFailure("refused after %d tokens: %v", a.Tokens, err)
 	if !strings.HasPrefix(want, a.Text) {
 		t.Wrong++
 	}
 }
 
-func (t *Tally) resumes(a *caller.Answer, faults *Faults) {
+// recordResumes records the resume latency of each gap in which a fault was injected.
+func (t *Tally) recordResumes(a *caller.Answer, faults *Faults) {
 	if a == nil || faults == nil || t.Resume == nil {
 		return
 	}
 	for i := 1; i < len(a.TokenTimes); i++ {
-		if a.TokenTimes[i].Sub(a.TokenTimes[i-1]) < noticeable {
+		if a.TokenTimes[i].Sub(a.TokenTimes[i-1]) < minFaultGap {
 			continue
 		}
-		if d, hit := faults.between(a.TokenTimes[i-1], a.TokenTimes[i]); hit {
+		if d, hit := faults.resumeTime(a.TokenTimes[i-1], a.TokenTimes[i]); hit {
 			_ = t.Resume.RecordValue(max(d.Milliseconds(), 1))
 		}
 	}
 }
 
-// Call checks a plain call's outcome: want has to be in the answer.
-func (t *Tally) Call(a *caller.PlainAnswer, err error, want string) {
+// RecordCall counts a plain call's outcome. The answer is complete if it contains want.
+func (t *Tally) RecordCall(a *caller.PlainAnswer, err error, want string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var refusal *caller.Refusal
@@ -151,75 +160,76 @@
 		t.Refused++
 	case err != nil:
 		t.Lost++
-		t.note("call lost: %v", err)
+		t.addFailure("call lost: %v", err)
 	case !strings.Contains(string(a.Body), want):
 		t.Wrong++
-		t.note("call answered %q", a.Body)
+		t.addFailure("call answered %q", a.Body)
 	default:
 		t.Complete++
 	}
 }
 
-// Work sums up what the engines did, also those that die.
-type Work struct {
+// EngineWork sums up the work of the engines. For an engine that died, the last totals read count.
+type EngineWork struct {
 	addresses []string
 	mu        sync.Mutex
-	last      map[string]engine.Stats
+	lastStats map[string]engine.Stats
 }
 
-// NewWork returns a count over the engines at the addresses.
-func NewWork(addresses []string) *Work {
-	return &Work{addresses: addresses, last: map[string]engine.Stats{}}
+// NewEngineWork returns the work of the engines at the addresses. It reads nothing yet.
+func NewEngineWork(addresses []string) *EngineWork {
+	return &EngineWork{addresses: addresses, lastStats: map[string]engine.Stats{}}
 }
 
-const pollEvery = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
-// Poll reads the engines' totals until ctx ends.
-func (w *Work) Poll(ctx context.Context) {
+// Poll reads the engines' totals every pollInterval until ctx ends.
+func (w *EngineWork) Poll(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.Read(ctx)
-		time.Sleep(pollEvery)
+		w.Update(ctx)
+		time.Sleep(pollInterval)
 	}
 }
 
-// Read reads the engines' totals once. An engine that does not answer keeps its last.
-func (w *Work) Read(ctx context.Context) {
+// Update reads the engines' totals once. An engine that does not answer keeps its last totals.
+func (w *EngineWork) Update(ctx context.Context) {
 	for _, a := range w.addresses {
 		var st engine.Stats
 		if getJSON(ctx, "http://"+a+"/admin/stats", &st) == nil {
 			w.mu.Lock()
-			w.last[a] = st
+			w.lastStats[a] = st
 			w.mu.Unlock()
 		}
 	}
 }
 
-// Total returns the tokens prefilled and generated.
-func (w *Work) Total() int64 {
+// Total returns the number of tokens that the engines prefilled and generated.
+func (w *EngineWork) Total() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var sum int64
-	for _, st := range w.last {
+	for _, st := range w.lastStats {
 		sum += st.Generated + st.Prefilled
 	}
 	return sum
 }
 
-// Runs returns how often each call ran at a service stand-in.
+// Runs returns how often each call ran at the simulated plain service at address, by "METHOD /path
+// body".
 func Runs(ctx context.Context, address string) (map[string]int, error) {
 	var runs map[string]int
 	err := getJSON(ctx, "http://"+address+"/admin/runs", &runs)
 	return runs, err
 }
 
-var client = &http.Client{Timeout: 500 * time.Millisecond}
+var httpClient = &http.Client{Timeout: 500 * time.Millisecond}
 
 func getJSON(ctx context.Context, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return err
 	}
