--- a/cli/demo/demo.go
+++ b/cli/demo/demo.go
@@ -1,6 +1,7 @@
-// Package demo drives running processes through their main job: it creates a deployment,
-// sends generations and plain calls at once, kills an engine and a gateway and freezes
-// another engine while answers are in flight, and compares every answer with the right one.
+// Package demo runs requests and faults against running processes. It creates teams and deployments
+// and sends generations and plain calls concurrently. While answers are in flight it kills an
+// engine and an instance and freezes another engine. It compares every answer with the expected
+// one, and counts the calls that ran twice.
 package demo
 
 import (
@@ -29,7 +30,8 @@
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
-// Config says what to drive.
+// Config describes the processes and the load. Addresses are host:port. Process IDs of 0 leave out
+// their fault.
 type Config struct {
 	Gateways, Engines        []string
 	Service, OperatorKey     string
@@ -38,33 +40,36 @@
 	Tokens                   int
 	KillEngine, FreezeEngine int
 	KillGateway              int
-	// PauseGateway is stopped for a while in a second round, and returns.
+	// PauseGateway is the process ID of the instance that is stopped for pauseFor in a second
+	// round, and then continues.
 	PauseGateway int
 	Operator     operatorv1connect.OperatorServiceClient
 	Out          io.Writer
 }
 
 const (
-	deadline   = 30 * time.Second
-	setupLimit = 20 * time.Second
+	requestTimeout = 30 * time.Second
+	setupTimeout   = 20 * time.Second
 )
 
 // demo is a run in progress.
 type demo struct {
 	Config
-	key         string
-	generations *operatorv1.Deployment
-	plain       *operatorv1.Deployment
-	work        *load.EngineWork
-	tokens      atomic.Int64
-	faults      load.Faults
-	tally       load.Tally
+	key            string
+	generations    *operatorv1.Deployment
+	plain          *operatorv1.Deployment
+	work           *load.EngineWork
+	tokensReceived atomic.Int64
+	faults         load.Faults
+	tally          load.Tally
 }
 
-// errFailed means that a promise was broken; the line says which.
+// errFailed means that an answer was lost or wrong, or that a call ran twice. The line that Run
+// prints says which.
 var errFailed = errors.New("demo: a promise was broken")
 
-// Run does it all and prints one line at the end.
+// Run runs the demo and prints one line with the results at the end. It returns an error if the
+// setup or any check fails.
 func Run(ctx context.Context, cfg Config) error {
 	d := &demo{Config: cfg, key: pipeline.TeamKeyPrefix + "almaty-desk_" + uuid.NewString(), work: load.NewEngineWork(cfg.Engines)}
 	d.tally.Resume = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
@@ -74,7 +79,7 @@
 	workCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	go d.work.Poll(workCtx)
-	d.say("sending %d generations and %d calls at once", d.Generations, d.Calls)
+	d.logf("sending %d generations and %d calls at once", d.Generations, d.Calls)
 	var wg sync.WaitGroup
 	for i := range d.Generations {
 		wg.Go(func() { d.generate(ctx, i) })
@@ -82,28 +87,29 @@
 	for i := range d.Calls {
 		wg.Go(func() { d.call(ctx, i) })
 	}
-	wg.Go(func() { d.bringFaults(ctx) })
+	wg.Go(func() { d.injectFaults(ctx) })
 	wg.Wait()
-	first := d.tally.Resume
+	killRoundResume := d.tally.Resume
 	if d.PauseGateway != 0 {
-		d.pause(ctx)
+		d.runPauseRound(ctx)
 	}
-	return d.report(ctx, first)
+	return d.report(ctx, killRoundResume)
 }
 
 const (
-	pausedRound = 30              // generations of the second round
-	pauseAfter  = time.Second / 2 // when the instance is stopped
-	pauseFor    = 5 * time.Second
+	pauseRoundGenerations = 30              // sent in the second round
+	pauseAfter            = time.Second / 2 // from the start of the round until the instance is stopped
+	pauseFor              = 5 * time.Second
 )
 
-// pause is the second round: an instance is stopped with answers in flight and returns when
-// others have taken its work over. Its old attempts must not get a token through.
-func (d *demo) pause(ctx context.Context) {
+// runPauseRound runs the second round. An instance is stopped while answers are in flight, and
+// continues when others have taken over its work. The tokens of its old attempts must not reach
+// callers.
+func (d *demo) runPauseRound(ctx context.Context) {
 	d.tally.Resume = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
-	d.say("pausing an instance for %v, with %d generations in flight", pauseFor, pausedRound)
+	d.logf("pausing an instance for %v, with %d generations in flight", pauseFor, pauseRoundGenerations)
 	var wg sync.WaitGroup
-	for i := range pausedRound {
+	for i := range pauseRoundGenerations {
 		wg.Go(func() { d.generate(ctx, d.Generations+i) })
 	}
 	wg.Go(func() {
@@ -114,17 +120,17 @@
 		_ = syscall.Kill(d.PauseGateway, syscall.SIGCONT)
 	})
 	wg.Wait()
-	d.say("it returned; the answers it held went on elsewhere, resume_ms_p99=%d", d.tally.Resume.ValueAtPercentile(99))
-	d.Generations += pausedRound
+	d.logf("it returned; the answers it held went on elsewhere, resume_ms_p99=%d", d.tally.Resume.ValueAtPercentile(99))
+	d.Generations += pauseRoundGenerations
 }
 
-func (d *demo) say(format string, args ...any) {
+func (d *demo) logf(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.Out, "demo: "+format+"\n", args...)
 }
 
-// setup creates teams and deployments, and waits until they are in force everywhere.
+// setup creates the teams and deployments and waits until all instances have them.
 func (d *demo) setup(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, setupLimit)
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	sum := sha256.Sum256([]byte(d.key))
 	for _, team := range []string{"almaty-desk", "karaganda-desk"} {
@@ -151,19 +157,20 @@
 			d.plain = dep
 		}
 	}
-	return d.inForce(ctx)
+	return d.waitForConfiguration(ctx)
 }
 
-// inForce waits until all instances hold the same configuration and see all endpoints.
-func (d *demo) inForce(ctx context.Context) error {
-	began := time.Now()
+// waitForConfiguration waits until all instances have the same configuration and all endpoints are
+// live.
+func (d *demo) waitForConfiguration(ctx context.Context) error {
+	startedAt := time.Now()
 	for {
 		r, err := d.Operator.GetFleetStatus(ctx, connect.NewRequest(&operatorv1.GetFleetStatusRequest{}))
 		if err != nil {
 			return err
 		}
-		if same, endpoints := count(r.Msg); same == len(d.Gateways) && endpoints == len(d.Engines)+1 {
-			d.say("configuration in force at %d instances, %d endpoints, after %d ms", same, endpoints, time.Since(began).Milliseconds())
+		if instances, endpoints := countReady(r.Msg); instances == len(d.Gateways) && endpoints == len(d.Engines)+1 {
+			d.logf("configuration in force at %d instances, %d endpoints, after %d ms", instances, endpoints, time.Since(startedAt).Milliseconds())
 			return nil
 		}
 		select {
@@ -174,10 +181,12 @@
 	}
 }
 
-func count(s *operatorv1.GetFleetStatusResponse) (same, endpoints int) {
+// countReady counts the alive instances with the configuration of the one that answered, and the
+// live endpoints with more than one slot.
+func countReady(s *operatorv1.GetFleetStatusResponse) (instances, endpoints int) {
 	for _, i := range s.Instances {
 		if i.ConfigurationDigest == s.ConfigurationDigest && i.State == "alive" {
-			same++
+			instances++
 		}
 	}
 	for _, e := range s.Endpoints {
@@ -185,33 +194,36 @@
 			endpoints++
 		}
 	}
-	return same, endpoints
+	return instances, endpoints
 }
 
-// client returns a caller that begins at another instance than the one before.
-func (d *demo) client(i int) *caller.Client {
+// newClient returns a client for request i. Clients of successive requests start at different
+// instances.
+func (d *demo) newClient(i int) *caller.Client {
 	n := i % len(d.Gateways)
 	return caller.New(caller.Options{Entries: append(append([]string(nil), d.Gateways[n:]...), d.Gateways[:n]...), Key: d.key})
 }
 
+// generate runs generation i and records its outcome.
 func (d *demo) generate(ctx context.Context, i int) {
 	prompt := load.Prompt(i, 400)
 	r := caller.Request{
-		Model: d.generations.Name, Prompt: prompt, MaxTokens: d.Tokens, Seed: int64(i), Timeout: deadline,
-		IdempotencyKey: fmt.Sprintf("demo-%d", i), OnToken: func(string) { d.tokens.Add(1) },
+		Model: d.generations.Name, Prompt: prompt, MaxTokens: d.Tokens, Seed: int64(i), Timeout: requestTimeout,
+		IdempotencyKey: fmt.Sprintf("demo-%d", i), OnToken: func(string) { d.tokensReceived.Add(1) },
 	}
-	a, err := d.client(i).Generate(ctx, r)
+	a, err := d.newClient(i).Generate(ctx, r)
 	want := engine.ExpectedText(load.StartRequest(d.generations, prompt, d.Tokens, int64(i)))
 	d.tally.RecordGeneration(a, err, want, d.Tokens, &d.faults)
 }
 
-// call makes every second call a non-idempotent one under a ticket.
+// call makes plain call i and records its outcome. Even calls are reads; odd ones are not
+// idempotent and run under a ticket.
 func (d *demo) call(ctx context.Context, i int) {
-	c := d.client(i)
+	c := d.newClient(i)
 	if i%2 == 0 {
-		a, err := c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: deadline})
-		if caller.IsLost(err) { // the instance died: a read may be asked again
-			a, err = c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: deadline})
+		a, err := c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: requestTimeout})
+		if caller.IsLost(err) { // the instance died: a read may be repeated
+			a, err = c.CallPlain(ctx, caller.PlainRequest{Service: d.plain.Name, Method: "GET", Path: "/status/" + fmt.Sprint(i), Timeout: requestTimeout})
 		}
 		d.tally.RecordCall(a, err, fmt.Sprintf("/status/%d", i))
 		return
@@ -224,62 +236,65 @@
 		d.tally.RecordCall(nil, err, "")
 		return
 	}
-	r := caller.PlainRequest{Service: d.plain.Name, Method: "POST", Path: "/callbacks", Body: fmt.Appendf(nil, "callback-%d", i), Ticket: ticket, Timeout: deadline}
+	r := caller.PlainRequest{Service: d.plain.Name, Method: "POST", Path: "/callbacks", Body: fmt.Appendf(nil, "callback-%d", i), Ticket: ticket, Timeout: requestTimeout}
 	a, err := c.CallPlain(ctx, r)
 	if caller.IsLost(err) {
-		a, err = c.CallPlain(ctx, r) // the ticket makes it safe
+		a, err = c.CallPlain(ctx, r) // safe under the ticket: the call runs at most once
 	}
 	d.tally.RecordCall(a, err, fmt.Sprintf("callback-%d", i))
 }
 
-// bringFaults kills and freezes processes while answers are in flight.
-func (d *demo) bringFaults(ctx context.Context) {
+// injectFaults kills and freezes processes while answers are in flight, each after a share of all
+// tokens has arrived.
+func (d *demo) injectFaults(ctx context.Context) {
 	total := int64(d.Generations * d.Tokens)
 	steps := []struct {
-		at   int64
-		what string
-		pid  int
-		sig  syscall.Signal
+		afterTokens int64
+		action      string
+		pid         int
+		sig         syscall.Signal
 	}{
 		{total * 2 / 10, "killing an engine", d.KillEngine, syscall.SIGKILL},
 		{total * 4 / 10, "freezing an engine", d.FreezeEngine, syscall.SIGSTOP},
 		{total * 6 / 10, "killing a gateway", d.KillGateway, syscall.SIGKILL},
 	}
 	for _, s := range steps {
-		for d.tokens.Load() < s.at && ctx.Err() == nil {
+		for d.tokensReceived.Load() < s.afterTokens && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		if s.pid == 0 {
 			continue
 		}
-		d.say("%s (%d of %d tokens sent)", s.what, d.tokens.Load(), total)
+		d.logf("%s (%d of %d tokens sent)", s.action, d.tokensReceived.Load(), total)
 		d.faults.Add(time.Now())
 		if err := syscall.Kill(s.pid, s.sig); err != nil {
-			d.say("can't: %v", err)
+			d.logf("can't: %v", err)
 		}
 	}
 }
 
+// report prints the results. It returns errFailed if an answer was lost or wrong or a call ran
+// twice.
 func (d *demo) report(ctx context.Context, resume *hdrhistogram.Histogram) error {
 	runs, err := load.Runs(ctx, d.Service)
 	if err != nil {
 		return err
 	}
-	twice := 0
+	repeatedCalls := 0
 	for call, n := range runs {
 		if n > 1 && call[:4] == "POST" {
-			twice++
+			repeatedCalls++
 		}
 	}
 	t := &d.tally
-	ideal := int64(d.Generations) * int64(d.Tokens+load.PromptTokens(400))
-	extra := 100 * (float64(d.work.Total())/float64(ideal) - 1)
+	expectedWork := int64(d.Generations) * int64(d.Tokens+load.PromptTokens(400))
+	extraPercent := 100 * (float64(d.work.Total())/float64(expectedWork) - 1)
 	_, _ = fmt.Fprintf(d.Out, "demo: sent=%d complete=%d refused=%d wrong=%d missing_tokens=%d repeated_tokens=%d ran_twice=%d resume_ms_p50=%d resume_ms_p99=%d extra_work_pct=%.2f\n",
-		d.Generations+d.Calls, t.Complete, t.Refused, t.Wrong, t.MissingTokens, t.RepeatedTokens, twice,
-		resume.ValueAtPercentile(50), resume.ValueAtPercentile(99), extra)
-	if t.Wrong+t.MissingTokens+t.RepeatedTokens+twice > 0 || t.Complete+t.Refused != d.Generations+d.Calls {
+		d.Generations+d.Calls, t.Complete, t.Refused, t.Wrong, t.MissingTokens, t.RepeatedTokens, repeatedCalls,
+		resume.ValueAtPercentile(50), resume.ValueAtPercentile(99), extraPercent)
+	if t.Wrong+t.MissingTokens+t.RepeatedTokens+repeatedCalls > 0 || t.Complete+t.Refused != d.Generations+d.Calls {
 		for _, f := range t.Failures {
-			d.say("failure: %s", f)
+			d.logf("failure: %s", f)
 		}
 		return errFailed
 	}
