--- a/cli/bench/bench.go
+++ b/cli/bench/bench.go
@@ -134,7 +134,7 @@
 	e, err := engine.Start(engine.Config{
 		ID: fmt.Sprintf("engine-%02d", i), Address: "127.0.0.1:0", DataCentre: p.DataCentre[i%3], Service: p.Deployment,
 		Slots: p.Slots, Interval: p.Interval, PrefillRate: p.PrefillRate, CacheBlocks: 2000, Lag: 200 * time.Millisecond,
-		Gaps: 0.05, ChecksFencing: true, LoadTime: time.Second, Seed: r.Seed + uint64(i),
+		EventLoss: 0.05, ChecksFencing: true, LoadTime: time.Second, Seed: r.Seed + uint64(i),
 		Models:   []endpoint.LoadedModel{{Name: p.Model, Version: "1"}},
 		Platform: platform.NewObjects(r.platform.URL(), time.Second, network.TCP{}), Network: network.TCP{},
 	})
@@ -218,14 +218,14 @@
 func (r *run) generate(ctx context.Context, c *caller.Client, i int) {
 	p := &r.profile
 	tokens := p.tokens(i)
-	q := caller.Request{Model: p.Deployment, Prompt: r.prompt(i), MaxTokens: tokens, Seed: int64(i), Deadline: p.Deadline, SendTokens: true, Once: r.Once}
+	q := caller.Request{Model: p.Deployment, Prompt: r.prompt(i), MaxTokens: tokens, Seed: int64(i), Timeout: p.Deadline, SendTokens: true, NoRetry: r.Once}
 	if r.Key {
 		q.IdempotencyKey, q.NoCursor = fmt.Sprint("bench-", i), true
 	}
 	began := time.Now()
 	a, err := c.Generate(ctx, q)
-	want := engine.Answer(load.StartRequest(r.dep, q.Prompt, q.MaxTokens, q.Seed))
-	r.tally.Generation(a, err, want, tokens, nil)
+	want := engine.ExpectedText(load.StartRequest(r.dep, q.Prompt, q.MaxTokens, q.Seed))
+	r.tally.RecordGeneration(a, err, want, tokens, nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, a)
@@ -300,7 +300,7 @@
 			continue
 		}
 		r.report.Hit++
-		for n, t := range a.Times {
+		for n, t := range a.TokenTimes {
 			if t.After(at) {
 				r.recordResume(t.Sub(at), n, resume, beyond)
 				break
@@ -322,7 +322,7 @@
 	rep.work(&r.profile, st, r.delivered)
 	rep.Elsewhere = st.Streams - int64(rep.Sent)
 	rep.Complete, rep.Refused, rep.Lost, rep.Failures = t.Complete, t.Refused, t.Lost, t.Failures
-	rep.Wrong = t.Wrong + t.Missing + t.Repeated
+	rep.Wrong = t.Wrong + t.MissingTokens + t.RepeatedTokens
 	rep.Resume, rep.BeyondPrefill = quantiles(resume), quantiles(beyond)
 	rep.FirstToken, rep.Refusal = quantiles(t.FirstToken), quantiles(t.Refusal)
 }
