--- a/cli/command/bench.go
+++ b/cli/command/bench.go
@@ -12,9 +12,10 @@
 	"github.com/agateway/agateway/cli/bench"
 )
 
-// errBroken means that a run lost an answer or got a wrong one.
-var errBroken = errors.New("an answer was lost or wrong")
+// errBadAnswers is returned when a run lost an answer or received a wrong one.
+var errBadAnswers = errors.New("an answer was lost or wrong")
 
+// benchCommand returns the command that runs a load test. It fails if an answer was lost or wrong.
 func benchCommand(o *options) *cobra.Command {
 	cfg := bench.Config{Log: io.Discard}
 	c := &cobra.Command{
@@ -36,7 +37,7 @@
 				return err
 			}
 			if r.Bad() {
-				return errBroken
+				return errBadAnswers
 			}
 			return nil
 		},
--- a/cli/command/call.go
+++ b/cli/command/call.go
@@ -12,7 +12,8 @@
 	"github.com/agateway/agateway/cli/caller"
 )
 
-func (o *options) client() *caller.Client {
+// callerClient returns a client of the callers' interface for the instances in --address.
+func (o *options) callerClient() *caller.Client {
 	return caller.New(caller.Options{Entries: strings.Split(o.address, ","), Key: o.key})
 }
 
@@ -42,7 +43,7 @@
 		if o.output != outputJSON {
 			r.Token = func(text string) { _, _ = fmt.Fprint(w, text) }
 		}
-		a, err := o.client().Generate(cmd.Context(), r)
+		a, err := o.callerClient().Generate(cmd.Context(), r)
 		if err != nil {
 			return err
 		}
@@ -54,7 +55,8 @@
 	return c
 }
 
-// askOutput is the JSON output of ask.
+// askOutput is the JSON output of the ask command. Resumes counts how often the answer continued at
+// another instance; FirstTokenMS is the time until the first token, in milliseconds.
 type askOutput struct {
 	Text         string `json:"text"`
 	Tokens       int    `json:"tokens"`
@@ -65,7 +67,7 @@
 
 func entryCommand(o *options) *cobra.Command {
 	return &cobra.Command{Use: "entry", Short: "Asks which addresses to use", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		e, err := o.client().Entry(cmd.Context(), strings.Split(o.address, ",")[0])
+		e, err := o.callerClient().Entry(cmd.Context(), strings.Split(o.address, ",")[0])
 		if err != nil {
 			return err
 		}
--- a/cli/command/demo.go
+++ b/cli/command/demo.go
@@ -12,7 +12,7 @@
 		Use: "demo", Short: "Drives running processes through faults and checks every answer (see scripts/demo.sh)",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.Operator = Operator(cfg.Gateways[0], cfg.OperatorKey)
+			cfg.Operator = NewOperatorClient(cfg.Gateways[0], cfg.OperatorKey)
 			cfg.Out = cmd.OutOrStdout()
 			return demo.Run(cmd.Context(), cfg)
 		},
--- a/cli/command/explain.go
+++ b/cli/command/explain.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// readLogs reads all files, or standard input if there are none.
 func readLogs(cmd *cobra.Command, files []string) (*explain.Log, error) {
 	log := &explain.Log{}
 	if len(files) == 0 {
@@ -38,7 +39,7 @@
 			return nil, err
 		}
 		err = log.Read(f)
-		_ = f.Close() // it was only read
+		_ = f.Close() // the file was only read, so closing it loses nothing
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
--- a/cli/command/operate.go
+++ b/cli/command/operate.go
@@ -23,27 +23,30 @@
 	"github.com/agateway/agateway/gateway/pipeline"
 )
 
+// callTimeout bounds the creation or update of a deployment.
 const callTimeout = 15 * time.Second
 
-// Operator returns a client of the operators' interface.
-func Operator(address, key string) operatorv1connect.OperatorServiceClient {
-	return operatorv1connect.NewOperatorServiceClient(&http.Client{Transport: bearer{key}}, "http://"+address)
+// NewOperatorClient returns a client of the operators' interface at address (host:port). It sends
+// key, the operators' key, with each request.
+func NewOperatorClient(address, key string) operatorv1connect.OperatorServiceClient {
+	return operatorv1connect.NewOperatorServiceClient(&http.Client{Transport: bearerTransport{key}}, "http://"+address)
 }
 
-// bearer shows a key with each request.
-type bearer struct{ key string }
+// bearerTransport adds a key to each request as a bearer token.
+type bearerTransport struct{ key string }
 
 // RoundTrip implements http.RoundTripper.
-func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+b.key)
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-func (o *options) operator() operatorv1connect.OperatorServiceClient {
-	return Operator(o.address, o.key)
+func (o *options) operatorClient() operatorv1connect.OperatorServiceClient {
+	return NewOperatorClient(o.address, o.key)
 }
 
+// printMessage writes m as JSON, or calls text.
 func (o *options) printMessage(w io.Writer, m proto.Message, text func() error) error {
 	if o.output != outputJSON {
 		return text()
@@ -62,6 +65,7 @@
 	return c
 }
 
+// readDeployment reads a deployment from a JSON file. Any failure is a usageError.
 func readDeployment(file string) (*operatorv1.Deployment, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -93,7 +97,7 @@
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), callTimeout)
 		defer cancel()
-		stored, err := put(ctx, o, d, version, operation, create)
+		stored, err := putDeployment(ctx, o, d, version, operation, create)
 		if err != nil {
 			return err
 		}
@@ -105,15 +109,15 @@
 	return c
 }
 
-func put(ctx context.Context, o *options, d *operatorv1.Deployment, version uint64, operation string, create bool) (*operatorv1.StoredDeployment, error) {
+func putDeployment(ctx context.Context, o *options, d *operatorv1.Deployment, version uint64, operation string, create bool) (*operatorv1.StoredDeployment, error) {
 	if create {
-		r, err := o.operator().CreateDeployment(ctx, connect.NewRequest(&operatorv1.CreateDeploymentRequest{Deployment: d, OperationId: operation}))
+		r, err := o.operatorClient().CreateDeployment(ctx, connect.NewRequest(&operatorv1.CreateDeploymentRequest{Deployment: d, OperationId: operation}))
 		if err != nil {
 			return nil, err
 		}
 		return r.Msg.Stored, nil
 	}
-	r, err := o.operator().UpdateDeployment(ctx, connect.NewRequest(&operatorv1.UpdateDeploymentRequest{Deployment: d, ExpectedVersion: version, OperationId: operation}))
+	r, err := o.operatorClient().UpdateDeployment(ctx, connect.NewRequest(&operatorv1.UpdateDeploymentRequest{Deployment: d, ExpectedVersion: version, OperationId: operation}))
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +126,7 @@
 
 func deploymentGet(o *options) *cobra.Command {
 	return &cobra.Command{Use: "get NAME", Short: "Shows a deployment", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		r, err := o.operator().GetDeployment(cmd.Context(), connect.NewRequest(&operatorv1.GetDeploymentRequest{Name: args[0]}))
+		r, err := o.operatorClient().GetDeployment(cmd.Context(), connect.NewRequest(&operatorv1.GetDeploymentRequest{Name: args[0]}))
 		if err != nil {
 			return err
 		}
@@ -132,7 +136,7 @@
 
 func deploymentList(o *options) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Lists deployments", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		r, err := o.operator().ListDeployments(cmd.Context(), connect.NewRequest(&operatorv1.ListDeploymentsRequest{}))
+		r, err := o.operatorClient().ListDeployments(cmd.Context(), connect.NewRequest(&operatorv1.ListDeploymentsRequest{}))
 		if err != nil {
 			return err
 		}
@@ -154,7 +158,7 @@
 func deploymentDelete(o *options) *cobra.Command {
 	var version uint64
 	c := &cobra.Command{Use: "delete NAME", Short: "Deletes a deployment", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		r, err := o.operator().DeleteDeployment(cmd.Context(), connect.NewRequest(&operatorv1.DeleteDeploymentRequest{
+		r, err := o.operatorClient().DeleteDeployment(cmd.Context(), connect.NewRequest(&operatorv1.DeleteDeploymentRequest{
 			Name: args[0], ExpectedVersion: version, OperationId: uuid.NewString(),
 		}))
 		if err != nil {
@@ -171,7 +175,7 @@
 
 func deploymentWatch(o *options) *cobra.Command {
 	return &cobra.Command{Use: "watch", Short: "Shows deployments as they change", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		s, err := o.operator().WatchDeployments(cmd.Context(), connect.NewRequest(&operatorv1.WatchDeploymentsRequest{}))
+		s, err := o.operatorClient().WatchDeployments(cmd.Context(), connect.NewRequest(&operatorv1.WatchDeploymentsRequest{}))
 		if err != nil {
 			return err
 		}
@@ -200,7 +204,7 @@
 	var version uint64
 	c := &cobra.Command{Use: "put NAME", Short: "Creates (version 0) or updates a team", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		t.Name = args[0]
-		r, err := o.operator().PutTeam(cmd.Context(), connect.NewRequest(&operatorv1.PutTeamRequest{Team: t, ExpectedVersion: version, OperationId: uuid.NewString()}))
+		r, err := o.operatorClient().PutTeam(cmd.Context(), connect.NewRequest(&operatorv1.PutTeamRequest{Team: t, ExpectedVersion: version, OperationId: uuid.NewString()}))
 		if err != nil {
 			return err
 		}
@@ -220,7 +224,7 @@
 
 func teamList(o *options) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Lists teams", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		r, err := o.operator().ListTeams(cmd.Context(), connect.NewRequest(&operatorv1.ListTeamsRequest{}))
+		r, err := o.operatorClient().ListTeams(cmd.Context(), connect.NewRequest(&operatorv1.ListTeamsRequest{}))
 		if err != nil {
 			return err
 		}
@@ -235,7 +239,8 @@
 	}}
 }
 
-// teamKey makes a key. Only its hash is given to the system.
+// teamKey returns the command that generates a team key. It contacts no instance: agateway stores
+// only the hash of a key.
 func teamKey() *cobra.Command {
 	return &cobra.Command{Use: "key NAME", Short: "Makes a new key for a team, and shows it with its hash", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		key := pipeline.TeamKeyPrefix + args[0] + "_" + strings.ReplaceAll(uuid.NewString()+uuid.NewString(), "-", "")
@@ -244,6 +249,7 @@
 	}}
 }
 
+// hashKey returns the SHA-256 of a key in hexadecimal.
 func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -252,7 +258,7 @@
 func fleetCommand(o *options) *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "Shows the fleet"}
 	c.AddCommand(&cobra.Command{Use: "status", Short: "Shows instances and endpoints as one instance knows them", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		r, err := o.operator().GetFleetStatus(cmd.Context(), connect.NewRequest(&operatorv1.GetFleetStatusRequest{}))
+		r, err := o.operatorClient().GetFleetStatus(cmd.Context(), connect.NewRequest(&operatorv1.GetFleetStatusRequest{}))
 		if err != nil {
 			return err
 		}
--- a/cli/command/root.go
+++ b/cli/command/root.go
@@ -1,5 +1,5 @@
-// Package command is the command line of agateway: operators' calls, callers' calls, the
-// load tool and the stand-ins.
+// Package command implements the command line of agateway: commands for operators and callers, for load
+// and fault tests, for logs and the state of instances, and for the stand-ins of external systems.
 package command
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/agateway/agateway/cli/caller"
 )
 
-// Exit codes.
+// Exit codes of the agateway command.
 const (
 	ExitFailed      = 1
 	ExitUsage       = 2
@@ -23,16 +23,17 @@
 	ExitUnavailable = 5
 )
 
-// options are the flags that all commands share.
+// options holds the flags that all commands share.
 type options struct {
 	address string
 	key     string
 	output  string
 }
 
+// outputJSON is the value of --output that selects JSON.
 const outputJSON = "json"
 
-// Root returns the command.
+// Root returns the root command with all subcommands.
 func Root() *cobra.Command {
 	o := &options{}
 	root := &cobra.Command{
@@ -53,10 +54,11 @@
 	return root
 }
 
-// usageError is a mistake in the command line.
+// usageError marks an error in the command line or in a file that it names.
 type usageError struct{ error }
 
-// ExitCode returns the exit code for an error.
+// ExitCode returns the exit code for an error of a command. A refusal with a time to retry after gives
+// ExitUnavailable.
 func ExitCode(err error) int {
 	var usage usageError
 	if errors.As(err, &usage) {
--- a/cli/command/soak.go
+++ b/cli/command/soak.go
@@ -23,7 +23,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o.Length, o.Out = time.Duration(seconds)*time.Second, cmd.OutOrStdout()
 			if regressions {
-				return playRegressions(cmd, o)
+				return runRegressions(cmd, o)
 			}
 			r, err := soak.Run(cmd.Context(), o)
 			if err != nil {
@@ -36,7 +36,7 @@
 			if err := writeReport(page, r.WritePage); err != nil {
 				return err
 			}
-			return brokenPromises(&r)
+			return findingsError(&r)
 		},
 	}
 	f := c.Flags()
@@ -57,18 +57,18 @@
 	return c
 }
 
-// playRegressions plays all soaks that once found a fault.
-func playRegressions(cmd *cobra.Command, base soak.Options) error {
+// runRegressions runs all soaks that once found a fault, and returns the errors of those that fail.
+func runRegressions(cmd *cobra.Command, base soak.Options) error {
 	var failed []error
-	for _, one := range soak.Regressions() {
-		_, _ = fmt.Fprintf(base.Out, "seed %d, %v: %s\n", one.Seed, one.Length, one.Cause)
-		r, err := one.Run(cmd.Context(), base)
+	for _, regression := range soak.Regressions() {
+		_, _ = fmt.Fprintf(base.Out, "seed %d, %v: %s\n", regression.Seed, regression.Length, regression.Cause)
+		r, err := regression.Run(cmd.Context(), base)
 		if err == nil {
 			printResult(base.Out, &r)
-			err = brokenPromises(&r)
+			err = findingsError(&r)
 		}
 		if err != nil {
-			failed = append(failed, fmt.Errorf("seed %d (%s): %w", one.Seed, one.Cause, err))
+			failed = append(failed, fmt.Errorf("seed %d (%s): %w", regression.Seed, regression.Cause, err))
 		}
 	}
 	return errors.Join(failed...)
@@ -79,15 +79,15 @@
 		r.Seed, r.Faults, r.Asked, r.Served, r.Refused, r.Unknown, r.Streams, len(r.Findings))
 }
 
-// brokenPromises returns an error where a soak has findings.
-func brokenPromises(r *soak.Report) error {
+// findingsError returns an error if a soak has findings, otherwise nil.
+func findingsError(r *soak.Report) error {
 	if len(r.Findings) == 0 {
 		return nil
 	}
 	return fmt.Errorf("%d promises were broken; logs in %s", len(r.Findings), r.Logs)
 }
 
-// writeReport writes a report to a file; none without a name.
+// writeReport writes a report to a file. It does nothing if the name is empty.
 func writeReport(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
@@ -97,7 +97,7 @@
 		return err
 	}
 	if err := write(f); err != nil {
-		_ = f.Close() // the first error counts
+		_ = f.Close() // the error of the write is returned
 		return err
 	}
 	return f.Close()
--- a/cli/command/standin.go
+++ b/cli/command/standin.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// runUntilSignal says where the stand-in listens and waits for SIGTERM.
+// runUntilSignal prints the address on which a stand-in listens and waits for SIGTERM or SIGINT.
 func runUntilSignal(cmd *cobra.Command, address string) error {
 	if _, err := fmt.Fprintf(cmd.OutOrStdout(), "ready address=%s\n", address); err != nil {
 		return err
@@ -51,11 +51,12 @@
 	return c
 }
 
-// exitCrash is the exit code of the fault "die".
-const exitCrash = 137
+// crashExitCode is the exit code of a stand-in on which the fault "die" was injected. A process that
+// is killed by SIGKILL has the same code in a shell.
+const crashExitCode = 137
 
 func standinEngine() *cobra.Command {
-	cfg := engine.Config{Network: network.TCP{}, Exit: func() { os.Exit(exitCrash) }}
+	cfg := engine.Config{Network: network.TCP{}, Exit: func() { os.Exit(crashExitCode) }}
 	var url string
 	var models []string
 	c := &cobra.Command{Use: "engine", Short: "Serves generations of a made-up model", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -63,7 +64,7 @@
 			name, version, _ := strings.Cut(m, "@")
 			cfg.Models = append(cfg.Models, endpoint.LoadedModel{Name: name, Version: version})
 		}
-		cfg.Platform = platformAt(url)
+		cfg.Platform = platformClient(url)
 		e, err := engine.Start(cfg)
 		if err != nil {
 			return err
@@ -91,10 +92,10 @@
 }
 
 func standinPlain() *cobra.Command {
-	cfg := plain.Config{Network: network.TCP{}, Exit: func() { os.Exit(exitCrash) }}
+	cfg := plain.Config{Network: network.TCP{}, Exit: func() { os.Exit(crashExitCode) }}
 	var url string
 	c := &cobra.Command{Use: "service", Short: "Serves a plain service that counts its calls", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		cfg.Platform = platformAt(url)
+		cfg.Platform = platformClient(url)
 		p, err := plain.Start(cfg)
 		if err != nil {
 			return err
@@ -113,7 +114,8 @@
 	return c
 }
 
-func platformAt(url string) platform.Client {
+// platformClient returns a client of the platform at a base URL; nil if the URL is empty.
+func platformClient(url string) platform.Client {
 	if url == "" {
 		return nil
 	}
--- a/cli/command/state.go
+++ b/cli/command/state.go
@@ -15,11 +15,11 @@
 	"github.com/agateway/agateway/gateway/front"
 )
 
-// stateTimeout bounds the call.
-const stateTimeout = 3 * time.Second
+// instanceCallTimeout bounds a call to an instance, with the reading of the answer.
+const instanceCallTimeout = 3 * time.Second
 
 func stateCommand() *cobra.Command {
-	var raw bool
+	var asJSON bool
 	c := &cobra.Command{
 		Use: "state ADDRESS", Short: "Shows what an instance that forwards believes now (ADDRESS is that of its metrics)",
 		Args: cobra.ExactArgs(1), SilenceUsage: true,
@@ -28,18 +28,19 @@
 			if err != nil {
 				return err
 			}
-			if raw {
+			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(s)
 			}
 			return printState(cmd.OutOrStdout(), s)
 		},
 	}
-	c.Flags().BoolVar(&raw, "json", false, "print as JSON")
+	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	return c
 }
 
-// printStateOf returns a command's function that prints a table of an instance's state.
-func printStateOf(table func(w io.Writer, s *front.State)) func(*cobra.Command, []string) error {
+// printStateTable returns the function of a command that prints a table. It fetches the state of the
+// instance at the address in the first argument and passes it to table.
+func printStateTable(table func(w io.Writer, s *front.State)) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		s, err := fetchState(cmd.Context(), args[0])
 		if err != nil {
@@ -51,11 +52,12 @@
 	}
 }
 
-// seconds returns a time in whole seconds.
-func seconds(ms int64) time.Duration {
+// roundToSeconds converts milliseconds to a duration rounded to whole seconds.
+func roundToSeconds(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
 
+// fetchState returns the state of the instance whose metrics are served at address.
 func fetchState(ctx context.Context, address string) (*front.State, error) {
 	body, err := callInstance(ctx, http.MethodGet, address, front.StatePath)
 	if err != nil {
@@ -65,9 +67,10 @@
 	return s, json.Unmarshal(body, s)
 }
 
-// callInstance calls an instance at the address of its metrics.
+// callInstance calls an instance at the address of its metrics and returns the body of the answer. A
+// status of 300 or more is an error.
 func callInstance(ctx context.Context, method, address, path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, instanceCallTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
--- a/cli/command/stopped.go
+++ b/cli/command/stopped.go
@@ -18,7 +18,7 @@
 	}
 	c.AddCommand(&cobra.Command{
 		Use: "list ADDRESS", Short: "Shows which requests are stopped, and under which endpoints ended", Args: cobra.ExactArgs(1), SilenceUsage: true,
-		RunE: printStateOf(func(w io.Writer, s *front.State) { printStopped(w, s.Stopped) }),
+		RunE: printStateTable(func(w io.Writer, s *front.State) { printStopped(w, s.Stopped) }),
 	}, &cobra.Command{
 		Use: "release CONTENT ADDRESS", Short: "Lets a stopped request go again, at all instances", Args: cobra.ExactArgs(2), SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -30,10 +30,11 @@
 	return c
 }
 
+// printStopped writes the table of stopped requests to w, which aligns the columns.
 func printStopped(w io.Writer, stopped []crashes.State) {
 	_, _ = fmt.Fprintln(w, "CONTENT\tTEAM\tVERDICT\tFOR\tTIMES\tKEPT\tENDPOINTS")
 	for _, s := range stopped {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%s\n",
-			s.Content, s.Team, s.Verdict, seconds(s.ForMS), s.Times, s.Stored, strings.Join(s.Endpoints, " "))
+			s.Content, s.Team, s.Verdict, roundToSeconds(s.ForMS), s.Times, s.Stored, strings.Join(s.Endpoints, " "))
 	}
 }
