--- a/cli/command/explain.go
+++ b/cli/command/explain.go
@@ -18,11 +18,11 @@
 			if err != nil {
 				return err
 			}
-			story, found := log.Of(args[0])
+			timeline, found := log.TimelineOf(args[0])
 			if !found {
-				return fmt.Errorf("no line names request %s (%d lines read, %d are no log lines)", args[0], len(log.Lines), log.Unread)
+				return fmt.Errorf("no line names request %s (%d lines read, %d are no log lines)", args[0], len(log.Lines), log.Unparsed)
 			}
-			return story.Print(cmd.OutOrStdout())
+			return timeline.Print(cmd.OutOrStdout())
 		},
 	}
 }
--- a/cli/explain/explain.go
+++ b/cli/explain/explain.go
@@ -1,9 +1,9 @@
-// Package explain tells the story of one request from the logs of all instances: what was decided, in
-// order, from which inputs, and what the instances believed meanwhile.
+// Package explain builds the timeline of one request from the logs of all instances: which decisions were
+// made, in order and from which inputs, and what the instances logged about themselves and the endpoints
+// meanwhile.
 //
-// Failure modes: lines that are no JSON are passed over and counted, since logs may come with other
-// output; lines that were left out by the instances' own budgets are named, since the story may then have
-// gaps.
+// Failure modes: lines that are not JSON are skipped and counted, because logs may contain other output.
+// Instances drop lines when their log budget is used up. The timeline then says how many lines are missing.
 package explain
 
 import (
@@ -17,18 +17,19 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is one line of a log. Request is empty if the line belongs to no request.
 type Line struct {
 	Time     time.Time
 	Instance string
 	Request  string
 	Message  string
 	Level    string
-	// Inputs are the other fields.
-	Inputs map[string]any
+	// Fields holds the fields of the line that have no place above, by name.
+	Fields map[string]any
 }
 
-// Names of fields of a line.
+// Names of fields in a log line. The age is that of the configuration: the time since it was last known to
+// be the newest, in milliseconds.
 const (
 	fieldTime     = "time"
 	fieldInstance = "instance"
@@ -39,31 +40,33 @@
 	fieldAge      = "age_ms"
 )
 
-// Log is what was read.
+// Log collects the lines of all logs read. The zero value is empty and ready for use.
 type Log struct {
 	Lines []Line
-	// Unread counts lines that are no log lines.
-	Unread int
+	// Unparsed counts lines that are not log lines.
+	Unparsed int
 }
 
-// lineMost bounds a line, in bytes.
-const lineMost = 1 << 20
+// maxLineBytes is the maximum length of a line. A longer line ends the reading with an error.
+const maxLineBytes = 1 << 20
 
-// Read adds the lines of a log. A line may have a prefix before its JSON, as collectors add one.
+// Read adds the lines of a log. Text before the JSON of a line is ignored, because log collectors add a
+// prefix.
 func (l *Log) Read(r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		if line, ok := parse(s.Text()); ok {
+		if line, ok := parseLine(s.Text()); ok {
 			l.Lines = append(l.Lines, line)
 		} else {
-			l.Unread++
+			l.Unparsed++
 		}
 	}
 	return s.Err()
 }
 
-func parse(text string) (Line, bool) {
+// parseLine parses one line. It returns false if the line has no JSON, no time or no message.
+func parseLine(text string) (Line, bool) {
 	at := strings.IndexByte(text, '{')
 	if at < 0 {
 		return Line{}, false
@@ -72,112 +75,114 @@
 	if err := json.Unmarshal([]byte(text[at:]), &fields); err != nil {
 		return Line{}, false
 	}
-	take := func(name string) string {
+	takeString := func(name string) string {
 		v, _ := fields[name].(string)
 		delete(fields, name)
 		return v
 	}
-	line := Line{Instance: take(fieldInstance), Request: take(fieldRequest), Message: take(fieldMessage), Level: take(fieldLevel)}
-	when, err := time.Parse(time.RFC3339Nano, take(fieldTime))
-	line.Time, line.Inputs = when, fields
+	line := Line{Instance: takeString(fieldInstance), Request: takeString(fieldRequest), Message: takeString(fieldMessage), Level: takeString(fieldLevel)}
+	when, err := time.Parse(time.RFC3339Nano, takeString(fieldTime))
+	line.Time, line.Fields = when, fields
 	return line, err == nil && line.Message != ""
 }
 
-// Story is what is known of one request.
-type Story struct {
+// Timeline holds the log lines about one request, each list sorted by time.
+type Timeline struct {
 	Request string
 	Lines   []Line
-	// Beliefs are what the instances involved logged of themselves and of the endpoints involved, from a
-	// little before the request to its end.
-	Beliefs []Line
-	// LeftOut counts lines that these instances left out meanwhile.
-	LeftOut int
+	// InstanceLines are the lines that name no request, from the instances that handled this one. Lines
+	// about endpoints that the request did not use are left out. The lines begin a lookback before the
+	// first line of the request and end with its last line.
+	InstanceLines []Line
+	// DroppedLines counts the lines that these instances dropped in the same time.
+	DroppedLines int
 }
 
-// before is how long before a request its instances' beliefs are of interest.
-const before = 5 * time.Second
+// lookback is the time before a request from which lines of its instances are shown.
+const lookback = 5 * time.Second
 
-// leftOut is the message of a line that counts lines left out.
-const leftOut = "decisions left out of the log"
+// droppedLinesMessage is the message with which an instance reports how many lines it dropped.
+const droppedLinesMessage = "decisions left out of the log"
 
-// Of returns the story of a request; false when no line names it.
-func (l *Log) Of(request string) (Story, bool) {
-	story := Story{Request: request}
+// TimelineOf returns the timeline of a request. It returns false if no line names the request.
+func (l *Log) TimelineOf(request string) (Timeline, bool) {
+	timeline := Timeline{Request: request}
 	instances, endpoints := map[string]bool{}, map[string]bool{}
 	for _, line := range l.Lines {
 		if line.Request != request {
 			continue
 		}
-		story.Lines = append(story.Lines, line)
+		timeline.Lines = append(timeline.Lines, line)
 		instances[line.Instance] = true
-		if e, ok := line.Inputs[fieldEndpoint].(string); ok {
+		if e, ok := line.Fields[fieldEndpoint].(string); ok {
 			endpoints[e] = true
 		}
 	}
-	if len(story.Lines) == 0 {
-		return story, false
+	if len(timeline.Lines) == 0 {
+		return timeline, false
 	}
-	byTime(story.Lines)
-	from, to := story.Lines[0].Time.Add(-before), story.Lines[len(story.Lines)-1].Time
+	sortByTime(timeline.Lines)
+	from, to := timeline.Lines[0].Time.Add(-lookback), timeline.Lines[len(timeline.Lines)-1].Time
 	for _, line := range l.Lines {
 		if line.Request != "" || !instances[line.Instance] || line.Time.Before(from) || line.Time.After(to) {
 			continue
 		}
-		if line.Message == leftOut {
-			n, _ := line.Inputs["lines"].(float64)
-			story.LeftOut += int(n)
+		if line.Message == droppedLinesMessage {
+			n, _ := line.Fields["lines"].(float64)
+			timeline.DroppedLines += int(n)
 			continue
 		}
-		if e, ok := line.Inputs[fieldEndpoint].(string); ok && !endpoints[e] {
+		if e, ok := line.Fields[fieldEndpoint].(string); ok && !endpoints[e] {
 			continue
 		}
-		story.Beliefs = append(story.Beliefs, line)
+		timeline.InstanceLines = append(timeline.InstanceLines, line)
 	}
-	byTime(story.Beliefs)
-	return story, true
+	sortByTime(timeline.InstanceLines)
+	return timeline, true
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 }
 
-// old is the age from which an input is named as old: in calm times the configuration is known to be in
-// force within a second.
-const old = 1500 * time.Millisecond
+// oldAge is the age from which Print marks the configuration of a decision as old. Without faults an
+// instance confirms its configuration within a second.
+const oldAge = 1500 * time.Millisecond
 
-// Print writes the story, a line a decision, with the time since the first one.
-func (s *Story) Print(w io.Writer) error {
-	began := s.Lines[0].Time
+// Print writes one line per decision, with the time since the first line of the request. The lines of the
+// instances and the number of dropped lines follow. A timeline without lines must not be printed.
+func (t *Timeline) Print(w io.Writer) error {
+	first := t.Lines[0].Time
 	var b strings.Builder
-	_, _ = fmt.Fprintf(&b, "request %s, first seen %s\n", s.Request, began.Format(time.RFC3339Nano))
-	for _, line := range s.Lines {
-		printLine(&b, began, &line)
-		if age, ok := line.Inputs[fieldAge].(float64); ok && age >= float64(old.Milliseconds()) {
+	_, _ = fmt.Fprintf(&b, "request %s, first seen %s\n", t.Request, first.Format(time.RFC3339Nano))
+	for _, line := range t.Lines {
+		printLine(&b, first, &line)
+		if age, ok := line.Fields[fieldAge].(float64); ok && age >= float64(oldAge.Milliseconds()) {
 			_, _ = fmt.Fprintf(&b, "           ^ old: the configuration was known to be in force %.1f s before\n", age/1000)
 		}
 	}
-	if len(s.Beliefs) > 0 {
-		_, _ = fmt.Fprintf(&b, "what these instances believed, from %v before\n", before)
-		for _, line := range s.Beliefs {
-			printLine(&b, began, &line)
+	if len(t.InstanceLines) > 0 {
+		_, _ = fmt.Fprintf(&b, "what these instances believed, from %v before\n", lookback)
+		for _, line := range t.InstanceLines {
+			printLine(&b, first, &line)
 		}
 	}
-	if s.LeftOut > 0 {
-		_, _ = fmt.Fprintf(&b, "%d lines were left out meanwhile: the story may have gaps\n", s.LeftOut)
+	if t.DroppedLines > 0 {
+		_, _ = fmt.Fprintf(&b, "%d lines were left out meanwhile: the story may have gaps\n", t.DroppedLines)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func printLine(b *strings.Builder, began time.Time, line *Line) {
-	_, _ = fmt.Fprintf(b, "%+9.3f s  %-20s %s", line.Time.Sub(began).Seconds(), line.Instance, line.Message)
-	names := make([]string, 0, len(line.Inputs))
-	for name := range line.Inputs {
+func printLine(b *strings.Builder, first time.Time, line *Line) {
+	_, _ = fmt.Fprintf(b, "%+9.3f s  %-20s %s", line.Time.Sub(first).Seconds(), line.Instance, line.Message)
+	names := make([]string, 0, len(line.Fields))
+	for name := range line.Fields {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if v := line.Inputs[name]; v != "" {
+		if v := line.Fields[name]; v != "" {
 			_, _ = fmt.Fprintf(b, " %s=%v", name, v)
 		}
 	}
--- a/cli/explain/explain_test.go
+++ b/cli/explain/explain_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const logs = `
+const testLogs = `
    4.1000 front-a {"endpoint":"e1","instance":"a","level":"info","msg":"endpoint listed","time":"2026-01-01T00:00:01Z"}
 {"endpoint":"e9","instance":"a","level":"info","msg":"endpoint listed","time":"2026-01-01T00:00:01Z"}
 {"instance":"b","level":"warning","msg":"store lost","time":"2026-01-01T00:00:02Z"}
@@ -21,14 +21,17 @@
 {"instance":"c","level":"warning","msg":"store lost","time":"2026-01-01T00:00:03Z"}
 `
 
-func TestStory(t *testing.T) {
+// TestTimeline reads the logs of three instances and checks the whole output for one request: its lines
+// in order of time, the old configuration marked, the lines of the two instances that handled it, and the
+// number of dropped lines. Lines of other requests, instances and endpoints must not appear.
+func TestTimeline(t *testing.T) {
 	var l Log
-	assert.NilError(t, l.Read(strings.NewReader(logs)))
-	assert.Equal(t, l.Unread, 2)
-	s, ok := l.Of("r1")
+	assert.NilError(t, l.Read(strings.NewReader(testLogs)))
+	assert.Equal(t, l.Unparsed, 2)
+	timeline, ok := l.TimelineOf("r1")
 	assert.Assert(t, ok)
 	var out bytes.Buffer
-	assert.NilError(t, s.Print(&out))
+	assert.NilError(t, timeline.Print(&out))
 	assert.Equal(t, out.String(), `request r1, first seen 2026-01-01T00:00:03Z
    +0.000 s  a                    placed attempt=1 endpoint=e1
    +0.250 s  a                    attempt failed endpoint=e1 error=reset
@@ -39,6 +42,6 @@
    -1.000 s  b                    store lost
 7 lines were left out meanwhile: the story may have gaps
 `)
-	_, ok = l.Of("r3")
+	_, ok = l.TimelineOf("r3")
 	assert.Assert(t, !ok)
 }
