--- a/cli/bench/config_bench_test.go
+++ b/cli/bench/config_bench_test.go
@@ -15,9 +15,9 @@
 	store "github.com/agateway/agateway/platform/standin"
 )
 
-// instances starts n instances over TCP before a platform. Those for which away is true
-// can't reach the platform, only their peers.
-func instances(b *testing.B, n int, away func(i int) bool) (*standin.Platform, []*daemon.Daemon) {
+// startInstances starts a platform and n instances over TCP. Instances for which cutOff is true can
+// reach only their peers, not the platform.
+func startInstances(b *testing.B, n int, cutOff func(i int) bool) (*standin.Platform, []*daemon.Daemon) {
 	p, err := standin.Start(network.TCP{}, "127.0.0.1:0", time.Second)
 	if err != nil {
 		b.Fatal(err)
@@ -25,7 +25,7 @@
 	var all []*daemon.Daemon
 	for i := range n {
 		url, seeds := p.URL(), ""
-		if away(i) {
+		if cutOff(i) {
 			url = "http://127.0.0.1:9"
 		}
 		if i > 0 {
@@ -65,10 +65,12 @@
 	return p, all
 }
 
-func total(c store.Counts) int { return c.Reads + c.Writes + c.Watches }
+// totalCalls returns the number of calls that the platform has received.
+func totalCalls(c store.Counts) int { return c.Reads + c.Writes + c.Watches }
 
-// spread makes a change at one instance and returns how long it takes to be in force at all.
-func spread(b *testing.B, all []*daemon.Daemon, round int, accepted func()) time.Duration {
+// measurePropagation makes a change at the first instance, calls accepted, and returns the time
+// until the change is in force at all instances.
+func measurePropagation(b *testing.B, all []*daemon.Daemon, round int, accepted func()) time.Duration {
 	team := &operatorv1.Team{Name: fmt.Sprint("team-", round)}
 	if _, err := all[0].Config.PutTeam(context.Background(), team, 0, fmt.Sprint("op-", round)); err != nil {
 		b.Fatal(err)
@@ -92,29 +94,29 @@
 	}
 }
 
-// BenchmarkConfiguration measures the time from the acceptance of a change until it is in
-// force at all instances, and the calls to the platform for a change and for an idle
-// minute: clean, with an outage of the platform right after the acceptance, and with a
-// third of the instances cut off from the platform. Run it with -benchtime=30x.
+// BenchmarkConfiguration measures the time from the acceptance of a change until it is in force at
+// all instances, and the calls to the platform per change and per minute without changes. The modes
+// are: no fault, an outage of the platform right after the acceptance, and a third of the instances
+// cut off from the platform. Run it with -benchtime=30x.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, n := range []int{3, 9, 27} {
 		for _, mode := range []string{"clean", "outage", "third-cut-off"} {
 			b.Run(fmt.Sprintf("%d/%s", n, mode), func(b *testing.B) {
-				p, all := instances(b, n, func(i int) bool { return mode == "third-cut-off" && i%3 == 2 })
-				idle := total(p.Counts())
+				p, all := startInstances(b, n, func(i int) bool { return mode == "third-cut-off" && i%3 == 2 })
+				idle := totalCalls(p.Counts())
 				const watch = 6 * time.Second
 				time.Sleep(watch)
-				perMinute := float64(total(p.Counts())-idle) * float64(time.Minute/watch)
-				h := histogram()
-				before, began := total(p.Counts()), time.Now()
+				perMinute := float64(totalCalls(p.Counts())-idle) * float64(time.Minute/watch)
+				h := newHistogram()
+				before, began := totalCalls(p.Counts()), time.Now()
 				round := 0
 				for b.Loop() {
 					round++
-					d := spread(b, all, round, func() { p.SetFault(standin.Fault{Down: mode == "outage"}) })
+					d := measurePropagation(b, all, round, func() { p.SetFault(standin.Fault{Down: mode == "outage"}) })
 					_ = h.RecordValue(max(d.Milliseconds(), 1))
 					p.SetFault(standin.Fault{})
 				}
-				calls := float64(total(p.Counts())-before) - perMinute*time.Since(began).Minutes()
+				calls := float64(totalCalls(p.Counts())-before) - perMinute*time.Since(began).Minutes()
 				b.ReportMetric(float64(h.ValueAtPercentile(50)), "ms-p50")
 				b.ReportMetric(float64(h.ValueAtPercentile(99)), "ms-p99")
 				b.ReportMetric(calls/float64(round), "calls/change")
--- a/cli/bench/latency_bench_test.go
+++ b/cli/bench/latency_bench_test.go
@@ -16,45 +16,47 @@
 	"github.com/agateway/agateway/gateway/network"
 )
 
-// fleet starts one engine and one instance over TCP.
-func fleet(b *testing.B, interval time.Duration) *run {
+// startSingleInstance starts one engine and one instance over TCP.
+func startSingleInstance(b *testing.B, interval time.Duration) *run {
 	p := Profiles["dala"]
 	p.Engines, p.Gateways, p.Slots, p.Interval = 1, 1, 64, interval
 	r := &run{Config: Config{Policy: "latency", Log: io.Discard}, profile: p}
-	if err := r.build(context.Background()); err != nil {
+	if err := r.start(context.Background()); err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(r.close)
 	return r
 }
 
-func (r *run) start(i, tokens int) *endpoint.StartRequest {
+func (r *run) startRequest(i, tokens int) *endpoint.StartRequest {
 	return &endpoint.StartRequest{Generation: fmt.Sprint("g", i), Attempt: 1, Model: r.profile.Model, Version: "1", Prompt: fmt.Sprint("p", i), MaxTokens: tokens}
 }
 
-// times notes when tokens come.
-type times struct{ at []time.Time }
+// tokenTimes records when tokens arrive.
+type tokenTimes struct{ at []time.Time }
 
-func (t *times) Acked(*endpoint.Ack) {}
-func (t *times) Token(int, []byte)   { t.at = append(t.at, time.Now()) }
-func (t *times) Alive()              {}
-func (t *times) Ended(*endpoint.End) {}
+func (t *tokenTimes) Acked(*endpoint.Ack) {}
+func (t *tokenTimes) Token(int, []byte)   { t.at = append(t.at, time.Now()) }
+func (t *tokenTimes) Alive()              {}
+func (t *tokenTimes) Ended(*endpoint.End) {}
 
-func (r *run) direct(b *testing.B, c *endpoint.Client, i, tokens int) []time.Time {
-	s, err := c.Open(context.Background(), r.engines[0].Addr, r.start(i, tokens))
+// generateDirectly generates at the engine, without an instance, and returns the times of the tokens.
+func (r *run) generateDirectly(b *testing.B, c *endpoint.Client, i, tokens int) []time.Time {
+	s, err := c.Open(context.Background(), r.engines[0].Addr, r.startRequest(i, tokens))
 	if err != nil {
 		b.Error(err)
 		return nil
 	}
 	defer s.Close()
-	t := &times{}
+	t := &tokenTimes{}
 	if err := s.Receive(t); err != nil {
 		b.Error(err)
 	}
 	return t.at
 }
 
-func (r *run) through(b *testing.B, c *http.Client, i, tokens int) []time.Time {
+// generateThroughInstance generates through the instance and returns the times of the tokens.
+func (r *run) generateThroughInstance(b *testing.B, c *http.Client, i, tokens int) []time.Time {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"p%d","max_tokens":%d,"stream":true}`, r.profile.Deployment, i, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.gateways[0].Callers+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -77,6 +79,7 @@
 	return at
 }
 
+// median returns the median in microseconds, or 0 if d is empty. It sorts d.
 func median(d []time.Duration) float64 {
 	if len(d) == 0 {
 		return 0
@@ -85,21 +88,21 @@
 	return float64(d[len(d)/2].Microseconds())
 }
 
-// BenchmarkAddedFirstToken compares the time to the first token at the engine alone with
-// that through an instance, in turn.
+// BenchmarkAddedFirstToken compares the time to the first token at the engine with that through an
+// instance. The two alternate.
 func BenchmarkAddedFirstToken(b *testing.B) {
-	r := fleet(b, time.Millisecond)
+	r := startSingleInstance(b, time.Millisecond)
 	c, h := endpoint.NewClient(time.Second, network.TCP{}), &http.Client{}
 	var alone, through []time.Duration
 	i := 0
 	for b.Loop() {
 		i += 2
 		began := time.Now()
-		if at := r.direct(b, c, i, 3); len(at) > 0 {
+		if at := r.generateDirectly(b, c, i, 3); len(at) > 0 {
 			alone = append(alone, at[0].Sub(began))
 		}
 		began = time.Now()
-		if at := r.through(b, h, i+1, 3); len(at) > 0 {
+		if at := r.generateThroughInstance(b, h, i+1, 3); len(at) > 0 {
 			through = append(through, at[0].Sub(began))
 		}
 	}
@@ -107,11 +110,12 @@
 	b.ReportMetric(median(through)-median(alone), "us-added-p50")
 }
 
-// BenchmarkAddedPerToken runs pairs of streams in one batch, one directly and one through
-// an instance: tokens of one step leave the engine together.
+// BenchmarkAddedPerToken measures the delay that an instance adds per token. It runs pairs of
+// streams in one batch, one directly and one through an instance. The engine sends the tokens of
+// one step together, so their difference in time is that delay.
 func BenchmarkAddedPerToken(b *testing.B) {
 	const tokens, interval = 100, 10 * time.Millisecond
-	r := fleet(b, interval)
+	r := startSingleInstance(b, interval)
 	c, h := endpoint.NewClient(time.Second, network.TCP{}), &http.Client{}
 	var added []time.Duration
 	i := 0
@@ -121,12 +125,12 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			alone = r.direct(b, c, i, tokens)
+			alone = r.generateDirectly(b, c, i, tokens)
 		}()
-		through := r.through(b, h, i+1, tokens)
+		through := r.generateThroughInstance(b, h, i+1, tokens)
 		<-done
 		for _, t := range through {
-			// The token of the same step came directly at most half a step apart.
+			// The direct token of the same step arrived less than half a step apart.
 			n, _ := slices.BinarySearchFunc(alone, t, func(a, t time.Time) int { return a.Compare(t) })
 			if n > 0 && t.Sub(alone[n-1]) < interval/2 {
 				added = append(added, t.Sub(alone[n-1]))
--- a/cli/bench/memory_bench_test.go
+++ b/cli/bench/memory_bench_test.go
@@ -19,8 +19,8 @@
 	"github.com/agateway/agateway/gateway/config"
 )
 
-// heap returns the bytes that build's result holds.
-func heap(build func() any) float64 {
+// measureHeap returns the bytes on the heap that the result of build keeps in use.
+func measureHeap(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -31,8 +31,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkMemory measures the memory of what an instance holds, per item, at the target's
-// numbers. Run it with -benchtime=1x.
+// BenchmarkMemory measures the memory per item of the tables that an instance keeps, at the sizes
+// of the target fleet. Run it with -benchtime=1x.
 func BenchmarkMemory(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
@@ -104,7 +104,7 @@
 		b.Run(fmt.Sprintf("%s/%d", c.name, c.n), func(b *testing.B) {
 			var bytes float64
 			for b.Loop() {
-				bytes = heap(func() any { return c.build(c.n) })
+				bytes = measureHeap(func() any { return c.build(c.n) })
 			}
 			b.ReportMetric(bytes/float64(c.n), "bytes/item")
 			b.ReportMetric(bytes/(1<<20), "MiB")
--- a/cli/bench/profile.go
+++ b/cli/bench/profile.go
@@ -2,60 +2,64 @@
 
 import "time"
 
-// Profile is a workload at the brief's sizes.
+// Profile is a workload and the fleet that serves it.
 type Profile struct {
-	Name       string
-	Deployment string
-	Model      string
-	Team       string
-	Class      string
-	DataCentre [3]string
-	Engines    int
-	Gateways   int
-	// Slots per engine, and the share of them that the load keeps busy.
+	Name        string
+	Deployment  string
+	Model       string
+	Team        string
+	Class       string
+	DataCentres [3]string
+	Engines     int
+	Gateways    int
+	// Slots is the number of streams that an engine runs at once, Load the share of all slots kept
+	// busy.
 	Slots int
 	Load  float64
-	// Interval is the time of a step of an engine, PrefillRate in tokens per second.
+	// Interval is the time of one step of an engine, in which each stream gets one token.
+	// PrefillRate is in tokens per second.
 	Interval    time.Duration
 	PrefillRate float64
-	// Prompt, of which Shared are the same in all prompts, and Answer on average, in tokens.
-	Prompt, Shared, Answer int
+	// PromptTokens is the length of a prompt. The first SharedTokens of it are the same in all
+	// prompts. AnswerTokens is the mean length of an answer.
+	PromptTokens, SharedTokens, AnswerTokens int
 	// Duration is how long requests are sent.
 	Duration time.Duration
+	// Deadline is the time for a whole answer, Queue the time that a request may wait for a slot.
 	Deadline time.Duration
 	Queue    time.Duration
 }
 
-// Profiles are the two workloads of the brief. Slots are chosen so that one machine
-// carries the whole; the answers are as long as a run of about a minute allows.
+// Profiles are the two target workloads, by name. Slots per engine are few enough that one machine
+// can run the whole fleet. Answers are as long as a run of about a minute allows.
 var Profiles = map[string]Profile{
 	"dala": {
 		Name: "dala", Deployment: "brief-llm", Model: "brief", Team: "almaty-desk", Class: "urgent",
-		DataCentre: [3]string{"alm-hall-a", "alm-hall-b", "shym-hall"}, Engines: 24, Gateways: 6, Slots: 8, Load: 0.6,
-		Interval: 33 * time.Millisecond, PrefillRate: 20000, Prompt: 600, Shared: 128, Answer: 150,
+		DataCentres: [3]string{"alm-hall-a", "alm-hall-b", "shym-hall"}, Engines: 24, Gateways: 6, Slots: 8, Load: 0.6,
+		Interval: 33 * time.Millisecond, PrefillRate: 20000, PromptTokens: 600, SharedTokens: 128, AnswerTokens: 150,
 		Duration: 20 * time.Second, Deadline: 20 * time.Second, Queue: 1500 * time.Millisecond,
 	},
 	"kurosawa": {
 		Name: "kurosawa", Deployment: "plan-writer", Model: "plan", Team: "sapporo-coaches", Class: "long",
-		DataCentre: [3]string{"kita-hall", "chuo-hall", "toyo-hall"}, Engines: 36, Gateways: 6, Slots: 8, Load: 0.6,
-		Interval: 33 * time.Millisecond, PrefillRate: 20000, Prompt: 400, Shared: 320, Answer: 500,
+		DataCentres: [3]string{"kita-hall", "chuo-hall", "toyo-hall"}, Engines: 36, Gateways: 6, Slots: 8, Load: 0.6,
+		Interval: 33 * time.Millisecond, PrefillRate: 20000, PromptTokens: 400, SharedTokens: 320, AnswerTokens: 500,
 		Duration: 40 * time.Second, Deadline: 5 * time.Minute, Queue: 30 * time.Second,
 	},
 }
 
-// answerTime is how long an answer takes at an engine.
+// answerTime is the time in which an engine prefills a prompt and generates an answer of mean length.
 func (p *Profile) answerTime() time.Duration {
-	return time.Duration(p.Answer)*p.Interval + time.Duration(float64(p.Prompt)/p.PrefillRate*float64(time.Second))
+	return time.Duration(p.AnswerTokens)*p.Interval + time.Duration(float64(p.PromptTokens)/p.PrefillRate*float64(time.Second))
 }
 
-// tokens is the length of answer i: from half of the profile's to half as much again, so
-// that answers that began together do not all end together.
-func (p *Profile) tokens(i int) int {
-	const step = 37 // shares no factor with the steps of an answer
-	return p.Answer/2 + i*step%(p.Answer+1)
+// answerLength is the length of answer i in tokens. It is between a half and one and a half of
+// AnswerTokens, so that answers that began together don't all end together.
+func (p *Profile) answerLength(i int) int {
+	const step = 37 // has no common factor with AnswerTokens+1, so all lengths occur
+	return p.AnswerTokens/2 + i*step%(p.AnswerTokens+1)
 }
 
-// rate is the requests per second that keep the share of the slots busy.
-func (p *Profile) rate() float64 {
+// requestRate is the number of requests per second that keeps the share Load of the slots busy.
+func (p *Profile) requestRate() float64 {
 	return p.Load * float64(p.Engines*p.Slots) / p.answerTime().Seconds()
 }
--- a/cli/bench/report.go
+++ b/cli/bench/report.go
@@ -10,7 +10,7 @@
 	"github.com/agateway/agateway/cli/standin/engine"
 )
 
-// Quantiles sum up a histogram, in milliseconds.
+// Quantiles summarises a histogram of times in milliseconds. N is the number of values.
 type Quantiles struct {
 	N   int64 `json:"n"`
 	P50 int64 `json:"p50"`
@@ -23,13 +23,15 @@
 	return Quantiles{h.TotalCount(), h.ValueAtPercentile(50), h.ValueAtPercentile(95), h.ValueAtPercentile(99), h.Max()}
 }
 
-// Extra is the work spent beyond a clean run.
-type Extra struct {
-	// PrefilledAgain and ThrownAway are in tokens.
+// ExtraWork is the work of the engines beyond that of a run without faults.
+type ExtraWork struct {
+	// PrefilledAgain counts tokens prefilled for attempts after the first, ThrownAway generated tokens
+	// that reached no caller.
 	PrefilledAgain int64 `json:"prefilled_again"`
 	ThrownAway     int64 `json:"thrown_away"`
-	// TokensPct counts a prefilled token like a generated one. SlotTimePct weighs them by
-	// the time for which they occupy a slot, as the engine's rates say.
+	// TokensPct is the extra work in percent of the needed work. It counts a prefilled token like a
+	// generated one. SlotTimePct weights both by the time for which they occupy a slot, at the
+	// rates of the engine.
 	TokensPct   float64 `json:"tokens_pct"`
 	SlotTimePct float64 `json:"slot_time_pct"`
 }
@@ -46,35 +48,39 @@
 	Refused  int `json:"refused"`
 	Lost     int `json:"lost"`
 	Wrong    int `json:"wrong"`
-	// Hit is how many answers were in flight where a fault struck.
-	Hit int `json:"hit"`
-	// Resume is the time from the fault to the next token at the caller; BeyondPrefill
-	// leaves out the time that the new engine needs to prefill prompt and answer so far.
+	// Affected counts the answers in flight at an engine when it got a fault. With the fault
+	// gateway it counts the answers that continued at another instance.
+	Affected int `json:"hit"`
+	// Resume is the time from the fault to the next token at the caller. BeyondPrefill is the same
+	// without the time that the new engine needs to prefill the prompt and the tokens delivered
+	// before.
 	Resume        Quantiles `json:"resume_ms"`
 	BeyondPrefill Quantiles `json:"resume_beyond_prefill_ms"`
 	FirstToken    Quantiles `json:"first_token_ms"`
 	Refusal       Quantiles `json:"refusal_ms"`
-	Extra         Extra     `json:"extra_work"`
-	// Elsewhere is how many streams were begun beyond one for each request.
-	Elsewhere int64    `json:"streams_beyond_one"`
-	Seconds   float64  `json:"seconds"`
-	Failures  []string `json:"failures,omitempty"`
+	Extra         ExtraWork `json:"extra_work"`
+	// ExtraStreams is the number of streams that engines began beyond one per request.
+	ExtraStreams int64    `json:"streams_beyond_one"`
+	Seconds      float64  `json:"seconds"`
+	Failures     []string `json:"failures,omitempty"`
 }
 
-func (r *Report) work(p *Profile, st engine.Stats, delivered int64) {
-	thrown := max(st.Generated-delivered, 0)
+// computeExtraWork computes Extra from the totals of all engines and the number of tokens delivered
+// to callers.
+func (r *Report) computeExtraWork(p *Profile, st engine.Stats, delivered int64) {
+	thrownAway := max(st.Generated-delivered, 0)
 	first := st.Prefilled - st.PrefilledAgain
-	r.Extra = Extra{PrefilledAgain: st.PrefilledAgain, ThrownAway: thrown}
-	r.Extra.TokensPct = 100 * float64(st.PrefilledAgain+thrown) / float64(first+delivered)
+	r.Extra = ExtraWork{PrefilledAgain: st.PrefilledAgain, ThrownAway: thrownAway}
+	r.Extra.TokensPct = 100 * float64(st.PrefilledAgain+thrownAway) / float64(first+delivered)
 	prefill := func(n int64) float64 { return float64(n) / p.PrefillRate }
 	generate := func(n int64) float64 { return float64(n) * p.Interval.Seconds() }
-	r.Extra.SlotTimePct = 100 * (prefill(st.PrefilledAgain) + generate(thrown)) / (prefill(first) + generate(delivered))
+	r.Extra.SlotTimePct = 100 * (prefill(st.PrefilledAgain) + generate(thrownAway)) / (prefill(first) + generate(delivered))
 }
 
-// Bad tells whether a promise was broken.
-func (r *Report) Bad() bool { return r.Lost > 0 || r.Wrong > 0 }
+// HasBadAnswers reports whether an answer was lost or wrong.
+func (r *Report) HasBadAnswers() bool { return r.Lost > 0 || r.Wrong > 0 }
 
-// Write prints the report for people.
+// Write writes the report as text.
 func (r *Report) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `%s, policy %s, fault %s, seed %d: %.0f s
   sent %d  complete %d  refused %d  lost %d  wrong %d
@@ -89,11 +95,12 @@
 		r.BeyondPrefill.P50, r.BeyondPrefill.P95, r.BeyondPrefill.P99, r.BeyondPrefill.Max,
 		r.FirstToken.N, r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.FirstToken.Max,
 		r.Refusal.N, r.Refusal.P50, r.Refusal.P95, r.Refusal.P99, r.Refusal.Max,
-		r.Extra.PrefilledAgain, r.Extra.ThrownAway, r.Extra.TokensPct, r.Extra.SlotTimePct, r.Elsewhere, r.Hit)
+		r.Extra.PrefilledAgain, r.Extra.ThrownAway, r.Extra.TokensPct, r.Extra.SlotTimePct, r.ExtraStreams, r.Affected)
 	return err
 }
 
-func histogram() *hdrhistogram.Histogram {
+// newHistogram returns a histogram of times from 1 ms to 10 min, with three significant digits.
+func newHistogram() *hdrhistogram.Histogram {
 	const digits = 3
 	return hdrhistogram.New(1, (10 * time.Minute).Milliseconds(), digits)
 }
--- a/cli/command/bench.go
+++ b/cli/command/bench.go
@@ -36,7 +36,7 @@
 			if err := o.print(cmd.OutOrStdout(), r, func() error { return r.Write(cmd.OutOrStdout()) }); err != nil {
 				return err
 			}
-			if r.Bad() {
+			if r.HasBadAnswers() {
 				return errBadAnswers
 			}
 			return nil
@@ -47,10 +47,10 @@
 	f.StringVar(&cfg.Policy, "policy", "latency", "latency, frugal, restart or no-probe")
 	f.StringVar(&cfg.Fault, "fault", "none", strings.Join(bench.Faults, ", "))
 	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of arrivals and of what is struck")
-	f.Float64Var(&cfg.Share, "share", 0.1, "part of the engines or instances that is struck")
+	f.Float64Var(&cfg.FaultShare, "share", 0.1, "part of the engines or instances that is struck")
 	f.Float64Var(&cfg.Load, "load", 0, "share of the slots kept busy (default: the profile's)")
 	f.DurationVar(&cfg.Duration, "duration", 0, "how long requests are sent (default: the profile's)")
-	f.BoolVar(&cfg.Once, "no-retry", false, "callers take a refusal as it is, without asking again")
-	f.BoolVar(&cfg.Key, "by-key", false, "callers keep nothing and ask again by idempotency key")
+	f.BoolVar(&cfg.NoRetry, "no-retry", false, "callers take a refusal as it is, without asking again")
+	f.BoolVar(&cfg.RetryByKey, "by-key", false, "callers keep nothing and ask again by idempotency key")
 	return c
 }
