--- a/cli/e2e/world_test.go
+++ b/cli/e2e/cluster_test.go
@@ -1,5 +1,6 @@
-// Package e2e proves what must always hold, with the daemons' own code before stand-ins,
-// in virtual time and over a network in memory.
+// Package e2e tests guarantees of the whole system. It runs instances with the daemon's own code
+// against stand-ins for engines, services and the platform, in virtual time and over an in-memory
+// network.
 package e2e
 
 import (
@@ -32,42 +33,44 @@
 	"github.com/agateway/agateway/gateway/settings"
 )
 
-// shape says what a world consists of.
-type shape struct {
+// clusterConfig says what a cluster consists of. Zero slots mean 16, a zero interval means
+// tokenInterval.
+type clusterConfig struct {
 	gateways, engines, services int
 	policy                      string
-	salt                        uint64
+	textSalt                    uint64
 	slots                       int
 	interval                    time.Duration
-	extra                       string // further settings
+	extraSettings               string // added to the settings of each instance
 	ignoreFencing               bool
-	anyVersion                  bool               // the deployment names none
-	versions                    func(i int) string // loaded by engine i; "1" if nil
+	anyVersion                  bool               // the deployment requires no model version
+	modelVersion                func(i int) string // version loaded by engine i; "1" if nil
 }
 
 const (
-	teamName    = "almaty-desk"
-	teamKey     = "agw_almaty-desk_0123456789"
-	operatorKey = "operator-key"
-	model       = "brief"
-	prompt      = "summarise the case of the caller"
-	token       = 20 * time.Millisecond
+	teamName      = "almaty-desk"
+	teamKey       = "agw_almaty-desk_0123456789"
+	operatorKey   = "operator-key"
+	model         = "brief"
+	prompt        = "summarise the case of the caller"
+	tokenInterval = 20 * time.Millisecond
 )
 
-// world is a fleet in virtual time.
-type world struct {
-	t        *testing.T
-	shape    shape
-	net      *memnet.Net
-	platform *standin.Platform
-	engines  []*engine.Engine
-	services []*plain.Plain
-	gateways []*daemon.Daemon
-	logs     *lockedBuffer
-	exited   func(i int) // is called when an engine ends by itself
-	dep      *operatorv1.Deployment
+// cluster is a set of instances, engines, services and a platform in virtual time.
+type cluster struct {
+	t                    *testing.T
+	config               clusterConfig
+	net                  *memnet.Net
+	platform             *standin.Platform
+	engines              []*engine.Engine
+	services             []*plain.Plain
+	gateways             []*daemon.Daemon
+	logs                 *lockedBuffer
+	onEngineExit         func(i int) // called when engine i exits because of a fault; may be nil
+	generationDeployment *operatorv1.Deployment
 }
 
+// lockedBuffer is a buffer that several instances can write to.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -79,66 +82,70 @@
 	return b.buf.Write(p)
 }
 
-// run builds a world, waits until it has come together, and runs f in it.
-func run(t *testing.T, s shape, f func(*world)) {
+// runCluster starts a cluster, waits until its instances know each other and the engines, and runs f.
+func runCluster(t *testing.T, s clusterConfig, f func(*cluster)) {
 	t.Helper()
-	t.Parallel() // each world has a clock of its own
+	t.Parallel() // each cluster has its own clock
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, shape: s, net: memnet.New(), logs: &lockedBuffer{}}
+		w := &cluster{t: t, config: s, net: memnet.New(), logs: &lockedBuffer{}}
 		defer w.close()
 		w.build()
 		f(w)
 	})
 }
 
-func (w *world) build() {
+// build starts all processes of the cluster, configures it and waits until the configuration is in
+// force.
+func (w *cluster) build() {
 	var err error
 	w.platform, err = standin.Start(w.net.Node("platform"), "10.0.9.1:80", 500*time.Millisecond)
 	assert.NilError(w.t, err)
-	for i := range w.shape.engines {
+	for i := range w.config.engines {
 		w.addEngine(i)
 	}
-	for i := range w.shape.services {
+	for i := range w.config.services {
 		p, err := plain.Start(plain.Config{
-			ID: fmt.Sprint("s", i), Address: "10.0.2.1:0", DataCentre: dc(i), Service: "queue-app", Slots: 64,
-			Work: 5 * time.Millisecond, Platform: w.platformFrom(fmt.Sprint("s", i)), Network: w.net.Node(fmt.Sprint("s", i)),
+			ID: fmt.Sprint("s", i), Address: "10.0.2.1:0", DataCentre: dataCentre(i), Service: "queue-app", Slots: 64,
+			Work: 5 * time.Millisecond, Platform: w.platformClient(fmt.Sprint("s", i)), Network: w.net.Node(fmt.Sprint("s", i)),
 		})
 		assert.NilError(w.t, err)
 		w.services = append(w.services, p)
 	}
-	for i := range w.shape.gateways {
+	for i := range w.config.gateways {
 		w.gateways = append(w.gateways, w.startGateway(i))
 	}
 	w.configure()
 	time.Sleep(5 * time.Second)
 }
 
-func dc(i int) string { return [...]string{"alm-hall-a", "alm-hall-b", "shym-hall"}[i%3] }
+func dataCentre(i int) string { return [...]string{"alm-hall-a", "alm-hall-b", "shym-hall"}[i%3] }
 
-func (w *world) platformFrom(node string) *platform.Objects {
+// platformClient returns a client of the platform at a node of the network.
+func (w *cluster) platformClient(node string) *platform.Objects {
 	return platform.NewObjects(w.platform.URL(), 2*time.Second, w.net.Node(node))
 }
 
-func (w *world) addEngine(i int) {
-	slots, interval := w.shape.slots, w.shape.interval
+// addEngine starts engine i, or starts it again.
+func (w *cluster) addEngine(i int) {
+	slots, interval := w.config.slots, w.config.interval
 	if slots == 0 {
 		slots = 16
 	}
 	if interval == 0 {
-		interval = token
+		interval = tokenInterval
 	}
 	id, version := fmt.Sprint("e", i), "1"
-	if w.shape.versions != nil {
-		version = w.shape.versions(i)
+	if w.config.modelVersion != nil {
+		version = w.config.modelVersion(i)
 	}
 	e, err := engine.Start(engine.Config{
-		ID: id, Address: "10.0.1.1:0", DataCentre: dc(i), Service: "brief-llm", Slots: slots, Interval: interval,
-		PrefillRate: 20000, CacheBlocks: 1000, Lag: 200 * time.Millisecond, Gaps: 0.1, ChecksFencing: !w.shape.ignoreFencing,
-		LoadTime: time.Second, Salt: w.shape.salt, Seed: uint64(i), Models: []endpoint.LoadedModel{{Name: model, Version: version}},
-		Platform: w.platformFrom(id), Network: w.net.Node(id),
+		ID: id, Address: "10.0.1.1:0", DataCentre: dataCentre(i), Service: "brief-llm", Slots: slots, Interval: interval,
+		PrefillRate: 20000, CacheBlocks: 1000, Lag: 200 * time.Millisecond, Gaps: 0.1, ChecksFencing: !w.config.ignoreFencing,
+		LoadTime: time.Second, Salt: w.config.textSalt, Seed: uint64(i), Models: []endpoint.LoadedModel{{Name: model, Version: version}},
+		Platform: w.platformClient(id), Network: w.net.Node(id),
 		Exit: func() {
-			if w.exited != nil {
-				w.exited(i)
+			if w.onEngineExit != nil {
+				w.onEngineExit(i)
 			}
 		},
 	})
@@ -150,7 +157,7 @@
 	w.engines = append(w.engines, e)
 }
 
-func (w *world) startGateway(i int) *daemon.Daemon {
+func (w *cluster) startGateway(i int) *daemon.Daemon {
 	hash := sha256.Sum256([]byte(operatorKey))
 	s, err := settings.Parse([]byte(fmt.Sprintf(`
 [instance]
@@ -164,27 +171,28 @@
 cursor = cursor-key-0123456789
 peer = peer-key-0123456789
 operator_sha256 = %s
-%s`, i, dc(i), i+1, i+1, w.platform.URL(), hex.EncodeToString(hash[:]), w.shape.extra)))
+%s`, i, dataCentre(i), i+1, i+1, w.platform.URL(), hex.EncodeToString(hash[:]), w.config.extraSettings)))
 	assert.NilError(w.t, err)
 	d, err := daemon.Start(s, w.net.Node(fmt.Sprint("g", i)), w.logs)
 	assert.NilError(w.t, err)
 	return d
 }
 
-func (w *world) ctx() context.Context {
+func (w *cluster) ctx() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	w.t.Cleanup(cancel)
 	return ctx
 }
 
-func (w *world) configure() {
+// configure creates the team and the deployments through the first instance.
+func (w *cluster) configure() {
 	ctx := w.ctx()
 	hash := sha256.Sum256([]byte(teamKey))
 	c := w.gateways[0].Config
 	_, err := c.PutTeam(ctx, &operatorv1.Team{Name: teamName, KeySha256: []string{hex.EncodeToString(hash[:])}}, 0, "team")
 	assert.NilError(w.t, err)
-	w.dep = w.deployment()
-	_, err = c.PutDeployment(ctx, w.dep, 0, "generations")
+	w.generationDeployment = w.deployment()
+	_, err = c.PutDeployment(ctx, w.generationDeployment, 0, "generations")
 	assert.NilError(w.t, err)
 	_, err = c.PutDeployment(ctx, &operatorv1.Deployment{
 		Name: "queue-app", Kind: operatorv1.Kind_KIND_PLAIN, Service: "queue-app", Teams: []string{teamName},
@@ -193,19 +201,20 @@
 	assert.NilError(w.t, err)
 }
 
-func (w *world) deployment() *operatorv1.Deployment {
+func (w *cluster) deployment() *operatorv1.Deployment {
 	version := "1"
-	if w.shape.anyVersion {
+	if w.config.anyVersion {
 		version = ""
 	}
 	return &operatorv1.Deployment{
 		Name: "brief-llm", Kind: operatorv1.Kind_KIND_GENERATION, Service: "brief-llm", Model: model, Version: version,
-		Teams: []string{teamName}, Recovery: &operatorv1.Recovery{Policy: w.shape.policy},
+		Teams: []string{teamName}, Recovery: &operatorv1.Recovery{Policy: w.config.policy},
 		Contract: &operatorv1.Contract{Class: "urgent", DeadlineMs: 60000, QueueMs: 2000},
 	}
 }
 
-func (w *world) close() {
+// close stops everything, and logs what the instances logged if the test failed.
+func (w *cluster) close() {
 	if w.t.Failed() {
 		w.t.Logf("logs:\n%s", w.logs.buf.String())
 	}
@@ -222,37 +231,39 @@
 	}
 	w.platform.Close()
 	w.net.CloseAll()
-	time.Sleep(2 * time.Hour) // what sleeps between retries ends
+	time.Sleep(2 * time.Hour) // goroutines that sleep between retries end
 }
 
-// client returns a caller that knows all instances, beginning with the i-th.
-func (w *world) client(i int) *caller.Client {
+// callerOfAll returns a caller that knows all instances and begins with instance i.
+func (w *cluster) callerOfAll(i int) *caller.Client {
 	var entries []string
 	for n := range w.gateways {
 		entries = append(entries, w.gateways[(i+n)%len(w.gateways)].Callers)
 	}
-	return caller.New(caller.Options{Entries: entries, Key: teamKey, Network: w.net.Node("caller"), DataCentre: dc(i)})
+	return caller.New(caller.Options{Entries: entries, Key: teamKey, Network: w.net.Node("caller"), DataCentre: dataCentre(i)})
 }
 
-func (w *world) request(tokens int) caller.Request {
+func (w *cluster) request(tokens int) caller.Request {
 	return caller.Request{Model: "brief-llm", Prompt: prompt, MaxTokens: tokens, Seed: 7, Deadline: 50 * time.Second}
 }
 
-// check compares an answer with the right one.
-func (w *world) check(r caller.Request, a *caller.Answer, err error) {
+// checkAnswer compares an answer with the right one. If the engines have a salt, it checks instead that
+// each token was made for exactly the tokens before it, so that texts of two attempts are not mixed.
+func (w *cluster) checkAnswer(r caller.Request, a *caller.Answer, err error) {
 	w.t.Helper()
 	assert.NilError(w.t, err)
-	start := load.StartRequest(w.dep, r.Prompt, r.MaxTokens, r.Seed)
+	start := load.StartRequest(w.generationDeployment, r.Prompt, r.MaxTokens, r.Seed)
 	assert.Equal(w.t, a.Tokens, r.MaxTokens)
-	if w.shape.salt == 0 {
+	if w.config.textSalt == 0 {
 		assert.Equal(w.t, a.Text, engine.Answer(start))
 		return
 	}
 	assert.Assert(w.t, engine.Lineage(start, a.Text, r.MaxTokens), "mixed: %s", a.Text)
 }
 
-// serving returns the engine that runs streams.
-func (w *world) serving() int {
+// servingEngine returns the index of the first engine with an open stream. It fails the test if
+// there is none.
+func (w *cluster) servingEngine() int {
 	for i, e := range w.engines {
 		if e.Open() > 0 {
 			return i
@@ -262,8 +273,8 @@
 	return -1
 }
 
-// total sums up the engines' totals.
-func (w *world) total() engine.Stats {
+// totalStats returns the sum of the totals of all engines.
+func (w *cluster) totalStats() engine.Stats {
 	var sum engine.Stats
 	for _, e := range w.engines {
 		st := e.Stats()
@@ -276,18 +287,18 @@
 	return sum
 }
 
-func (w *world) killEngine(i int) {
+func (w *cluster) killEngine(i int) {
 	w.engines[i].Close()
 	w.net.Crash(fmt.Sprint("e", i))
 }
 
-func (w *world) killGateway(i int) {
+func (w *cluster) killGateway(i int) {
 	w.net.Crash(fmt.Sprint("g", i))
 	w.gateways[i].Close()
 }
 
-// post sends a raw request to an instance.
-func (w *world) post(gateway int, path string, header map[string]string, body string) (int, http.Header, string) {
+// post sends a request to an instance with its own connection, and returns status, headers and body.
+func (w *cluster) post(gateway int, path string, header map[string]string, body string) (int, http.Header, string) {
 	w.t.Helper()
 	tr := &http.Transport{DialContext: w.net.Node("caller").Dial, DisableKeepAlives: true}
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.gateways[gateway].Callers+path, strings.NewReader(body))
@@ -304,8 +315,8 @@
 	return resp.StatusCode, resp.Header, string(raw)
 }
 
-func startRequest(w *world, prompt string, tokens int) *endpoint.StartRequest {
-	return load.StartRequest(w.dep, prompt, tokens, 7)
+func startRequest(w *cluster, prompt string, tokens int) *endpoint.StartRequest {
+	return load.StartRequest(w.generationDeployment, prompt, tokens, 7)
 }
 
 func asError[T error](err error, target *T) bool { return errors.As(err, target) }
--- a/cli/e2e/crashes_test.go
+++ b/cli/e2e/crashes_test.go
@@ -12,17 +12,17 @@
 	"github.com/agateway/agateway/cli/standin/engine"
 )
 
-// TestPromptThatEndsEngines: the callers of the project's own interface send a prompt that ends each engine that has read it, which
-// is back after five seconds. It comes again, at any instance. Each generation may be tried at twelve engines, and nothing
-// remembered what the one before had done.
-// What is asked: no engine ends at it later than three seconds after the third, and other generations are served.
-func TestPromptThatEndsEngines(t *testing.T) {
+// TestPromptThatCrashesEngines sends a prompt that ends each engine that has read it. Engines restart
+// after five seconds, and the prompt comes again at any instance. Each generation may try twelve
+// engines, so without memory of earlier generations the prompt ends engines again and again. No
+// engine may end later than three seconds after the third, and other generations must be served.
+func TestPromptThatCrashesEngines(t *testing.T) {
 	const (
 		fatal  = "ends whoever reads it"
 		settle = 3 * time.Second
 		back   = 5 * time.Second
 	)
-	run(t, shape{gateways: 3, engines: 12, policy: "frugal"}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 3, engines: 12, policy: "frugal"}, func(w *cluster) {
 		var mu sync.Mutex
 		var ends []time.Time
 		over := false
@@ -30,7 +30,7 @@
 			w.addEngine(i)
 			w.engines[i].SetFault(engine.Fault{DieAtPrompt: fatal})
 		}
-		w.exited = func(i int) {
+		w.onEngineExit = func(i int) {
 			mu.Lock()
 			defer mu.Unlock()
 			ends = append(ends, time.Now())
@@ -52,7 +52,7 @@
 				r.Prompt, r.Deadline = fatal, 20*time.Second
 				ctx, cancel := context.WithTimeout(w.ctx(), 20*time.Second)
 				defer cancel()
-				_, err := w.client(i).Generate(ctx, r)
+				_, err := w.callerOfAll(i).Generate(ctx, r)
 				assert.Check(w.t, err != nil)
 			})
 			time.Sleep(700 * time.Millisecond)
@@ -72,7 +72,7 @@
 		mu.Unlock()
 		var a *caller.Answer
 		r := w.request(20)
-		a, err := w.client(0).Generate(w.ctx(), r)
-		w.check(r, a, err)
+		a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+		w.checkAnswer(r, a, err)
 	})
 }
--- a/cli/e2e/fleet_test.go
+++ b/cli/e2e/fleet_test.go
@@ -19,23 +19,25 @@
 	"github.com/agateway/agateway/gateway/callers"
 )
 
-func (w *world) entry(i int) *callers.Entry {
-	e, err := w.only(i).Entry(w.ctx(), w.gateways[i].Callers)
+// entry returns the addresses that instance i names to callers.
+func (w *cluster) entry(i int) *callers.Entry {
+	e, err := w.callerOf(i).Entry(w.ctx(), w.gateways[i].Callers)
 	assert.NilError(w.t, err)
 	return e
 }
 
-// TestEntryLeavesOutTheDead: dead and leaving instances are not named within seconds.
-func TestEntryLeavesOutTheDead(t *testing.T) {
-	for name, end := range map[string]func(w *world){
-		"killed":   func(w *world) { w.killGateway(2) },
-		"cut off":  func(w *world) { w.cutOff("g2") },
-		"draining": func(w *world) { w.gateways[2].Drain(w.ctx()) },
+// TestEntryOmitsUnavailableInstances checks that dead and draining instances are no longer named to
+// callers within seconds.
+func TestEntryOmitsUnavailableInstances(t *testing.T) {
+	for name, end := range map[string]func(w *cluster){
+		"killed":   func(w *cluster) { w.killGateway(2) },
+		"cut off":  func(w *cluster) { w.isolate("g2") },
+		"draining": func(w *cluster) { w.gateways[2].Drain(w.ctx()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, shape{gateways: 3, engines: 1}, func(w *world) {
+			runCluster(t, clusterConfig{gateways: 3, engines: 1}, func(w *cluster) {
 				assert.Equal(t, len(w.entry(0).Addresses), 3)
-				assert.Equal(t, w.entry(0).Addresses[0].DataCentre, dc(0))
+				assert.Equal(t, w.entry(0).Addresses[0].DataCentre, dataCentre(0))
 				end(w)
 				time.Sleep(4 * time.Second)
 				for _, i := range []int{0, 1} {
@@ -47,11 +49,12 @@
 	}
 }
 
-// TestPartitionHeals: both sides go on, and find each other again without an operator.
+// TestPartitionHeals checks that both sides of a partition keep serving their entries, and that the
+// instances find each other again without an operator.
 func TestPartitionHeals(t *testing.T) {
-	run(t, shape{gateways: 4, engines: 2}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 4, engines: 2}, func(w *cluster) {
 		side := func(n string) bool { return n == "g0" || n == "g1" }
-		// Gateways still reach callers, engines and the platform.
+		// Instances still reach callers, engines and the platform.
 		w.net.SetCut(func(a, b string) bool { return a[0] == 'g' && b[0] == 'g' && side(a) != side(b) })
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, len(w.entry(0).Addresses), 2)
@@ -62,72 +65,75 @@
 	})
 }
 
-// TestLeavingEndpointGetsNoNewWork, whether the endpoint says so or only the list does.
+// TestLeavingEndpointGetsNoNewWork checks a leaving endpoint that reports it itself, and one that
+// only the list of the platform reports.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	for name, f := range map[string]engine.Fault{"says so itself": {Leaving: true}, "listed": {ListedLeaving: true}} {
 		t.Run(name, func(t *testing.T) {
-			run(t, shape{gateways: 2, engines: 3, policy: "frugal"}, func(w *world) { leavingEndpoint(w, f) })
+			runCluster(t, clusterConfig{gateways: 2, engines: 3, policy: "frugal"}, func(w *cluster) { checkLeavingEndpoint(w, f) })
 		})
 	}
 }
 
-func leavingEndpoint(w *world, f engine.Fault) {
+// checkLeavingEndpoint sets the fault on an engine with streams. New requests must go to other
+// engines, and its streams must finish there.
+func checkLeavingEndpoint(w *cluster, f engine.Fault) {
 	var wg sync.WaitGroup
 	for i := range 6 {
 		wg.Go(func() {
 			r := w.request(400)
 			r.Prompt = fmt.Sprint(i)
-			a, err := w.client(i).Generate(w.ctx(), r)
-			w.check(r, a, err)
+			a, err := w.callerOfAll(i).Generate(w.ctx(), r)
+			w.checkAnswer(r, a, err)
 		})
 	}
-	time.Sleep(20 * token)
-	i := w.serving()
+	time.Sleep(20 * tokenInterval)
+	i := w.servingEngine()
 	w.engines[i].SetFault(f)
 	time.Sleep(3 * time.Second)
 	before := w.engines[i].Stats().Streams
-	for n := range 30 { // together more than the others' share
+	for n := range 30 { // enough that the engine would get some of them
 		wg.Go(func() {
 			r := w.request(50)
 			r.Prompt = fmt.Sprint("new ", n)
-			a, err := w.client(n).Generate(w.ctx(), r)
-			w.check(r, a, err)
+			a, err := w.callerOfAll(n).Generate(w.ctx(), r)
+			w.checkAnswer(r, a, err)
 		})
 	}
 	time.Sleep(5 * time.Second)
 	assert.Equal(w.t, w.engines[i].Stats().Streams, before)
-	wg.Wait() // and what ran there was finished there
-	assert.Equal(w.t, w.total().Streams, int64(36))
+	wg.Wait() // no stream was moved to another engine
+	assert.Equal(w.t, w.totalStats().Streams, int64(36))
 }
 
-// TestGracefulShutdownCutsNothing drains an instance with answers in flight.
+// TestGracefulShutdownCutsNothing drains an instance with answers in flight. All must finish there.
 func TestGracefulShutdownCutsNothing(t *testing.T) {
-	run(t, shape{gateways: 2, engines: 3, policy: "latency"}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 2, engines: 3, policy: "latency"}, func(w *cluster) {
 		var wg sync.WaitGroup
 		for i := range 10 {
 			wg.Go(func() {
 				r := w.request(300)
 				r.Prompt = fmt.Sprint(i)
-				a, err := w.client(0).Generate(w.ctx(), r)
-				w.check(r, a, err)
+				a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+				w.checkAnswer(r, a, err)
 				assert.Equal(t, a.Resumes, 0, "the answer was cut")
 			})
 		}
-		time.Sleep(20 * token)
+		time.Sleep(20 * tokenInterval)
 		wg.Go(func() { w.gateways[0].Drain(context.Background()) })
 		time.Sleep(4 * time.Second)
-		r := w.request(10) // new work finds the other instance
-		a, err := w.client(1).Generate(w.ctx(), r)
-		w.check(r, a, err)
+		r := w.request(10) // new requests are served by the other instance
+		a, err := w.callerOfAll(1).Generate(w.ctx(), r)
+		w.checkAnswer(r, a, err)
 		wg.Wait()
 	})
 }
 
-// TestOverload offers twice what the engines carry: the admitted keep their contract, and
-// the refused learn it at once.
+// TestOverload sends twice the load that the engines can serve. Admitted requests must finish in
+// time, and most refused ones must be refused at once, with a time to retry after.
 func TestOverload(t *testing.T) {
-	run(t, shape{gateways: 3, engines: 2, slots: 8, policy: "latency"}, func(w *world) {
-		const tokens, seconds = 50, 20 // an answer takes a second: 16 a second are carried
+	runCluster(t, clusterConfig{gateways: 3, engines: 2, slots: 8, policy: "latency"}, func(w *cluster) {
+		const tokens, seconds = 50, 20 // an answer takes 1 s, so 16 slots serve 16 requests per second
 		var mu sync.Mutex
 		admitted, refused, atOnce, late := 0, 0, 0, 0
 		var wg sync.WaitGroup
@@ -142,7 +148,7 @@
 				defer mu.Unlock()
 				if status == http.StatusOK {
 					admitted++
-					if took > 4*time.Second { // two seconds of queue, one of work, and the prefill
+					if took > 4*time.Second { // 2 s in the queue, 1 s of generation, and the prefill
 						late++
 					}
 					return
@@ -164,9 +170,10 @@
 	})
 }
 
-// TestTeamLimitHoldsOverTheFleet offers one team's requests at all instances.
+// TestTeamLimitHoldsOverTheFleet sends the requests of one team to all instances. The limit on
+// concurrent requests must hold for their sum.
 func TestTeamLimitHoldsOverTheFleet(t *testing.T) {
-	run(t, shape{gateways: 3, engines: 4}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 3, engines: 4}, func(w *cluster) {
 		team := w.team()
 		team.Concurrent = 12
 		_, err := w.gateways[0].Config.PutTeam(w.ctx(), team, 1, "limit")
@@ -188,14 +195,15 @@
 		for _, e := range w.engines {
 			open += e.Open()
 		}
-		// What the others use is known a heartbeat or two late.
+		// An instance learns the usage at the others one or two heartbeats late.
 		assert.Assert(t, open >= 9 && open <= 18, "%d in progress", open)
 		wg.Wait()
 		assert.Assert(t, outcomes[429] > 0)
 	})
 }
 
-func (w *world) team() *operatorv1.Team {
+// team returns the first stored team.
+func (w *cluster) team() *operatorv1.Team {
 	for _, s := range w.gateways[0].Config.StoredTeams() {
 		return s.Team
 	}
@@ -203,23 +211,24 @@
 	return nil
 }
 
-// TestPlatformOutage: what is in force goes on, for long.
+// TestPlatformOutage checks that instances keep serving with the configuration in force during a long
+// outage of the platform.
 func TestPlatformOutage(t *testing.T) {
-	run(t, shape{gateways: 3, engines: 3, services: 1, policy: "latency"}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 3, engines: 3, services: 1, policy: "latency"}, func(w *cluster) {
 		w.platform.SetFault(standin.Fault{Down: true})
 		for i := range 10 {
 			time.Sleep(time.Minute)
 			r := w.request(20)
-			a, err := w.client(i).Generate(w.ctx(), r)
-			w.check(r, a, err)
+			a, err := w.callerOfAll(i).Generate(w.ctx(), r)
+			w.checkAnswer(r, a, err)
 		}
 		assert.Equal(t, len(w.entry(0).Addresses), 3)
 	})
 }
 
-// TestClientLibrary drives the API with a well-known client of the completions protocol.
+// TestClientLibrary uses the API through a widely used client library of the completions protocol.
 func TestClientLibrary(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 2}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 2}, func(w *cluster) {
 		transport := &http.Transport{DialContext: w.net.Node("caller").Dial, DisableKeepAlives: true}
 		c := openai.NewClient(
 			option.WithBaseURL("http://"+w.gateways[0].Callers+"/v1"), option.WithAPIKey(teamKey),
@@ -266,9 +275,9 @@
 	})
 }
 
-// TestTraceIsCarriedToTheEndpoint: a caller's trace goes on at the endpoint.
+// TestTraceIsCarriedToTheEndpoint checks that the trace of a caller continues at the endpoint.
 func TestTraceIsCarriedToTheEndpoint(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 1, services: 1}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 1, services: 1}, func(w *cluster) {
 		const trace = "0af7651916cd43dd8448eb211c80319c"
 		status, _, body := w.post(0, "/v1/services/queue-app/x", map[string]string{"traceparent": "00-" + trace + "-b7ad6b7169203331-01"}, "")
 		assert.Equal(t, status, 200)
@@ -276,9 +285,9 @@
 	})
 }
 
-// TestErrorsNameTheField sends bad requests.
+// TestErrorsNameTheField sends invalid requests. The error must name the field or header.
 func TestErrorsNameTheField(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 1}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 1}, func(w *cluster) {
 		for body, want := range map[string]string{
 			`{`:                                                   `"field":"body"`,
 			`{"prompt":"x"}`:                                      `"field":"model"`,
@@ -311,9 +320,10 @@
 	})
 }
 
-// TestForeignCursors: a cursor is good for its own request only.
-func TestForeignCursors(t *testing.T) {
-	run(t, shape{gateways: 2, engines: 1}, func(w *world) {
+// TestCursorIsBoundToItsRequest checks that a cursor resumes its own request, and is refused when
+// the body or the cursor was changed.
+func TestCursorIsBoundToItsRequest(t *testing.T) {
+	runCluster(t, clusterConfig{gateways: 2, engines: 1}, func(w *cluster) {
 		body := `{"model":"brief-llm","prompt":"x","max_tokens":5,"seed":7,"stream":true}`
 		_, _, text := w.post(0, "/v1/completions", nil, body)
 		var cursors []string
@@ -325,7 +335,7 @@
 		assert.Equal(t, len(cursors), 5)
 		status, _, rest := w.post(1, "/v1/completions", map[string]string{"Last-Event-ID": cursors[2]}, body)
 		assert.Equal(t, status, 200)
-		assert.Equal(t, strings.Count(rest, "id: "), 2) // exactly the rest
+		assert.Equal(t, strings.Count(rest, "id: "), 2) // exactly the missing events
 		assert.Assert(t, strings.HasSuffix(text, rest[strings.Index(rest, "data: [DONE]"):]))
 		for name, c := range map[string]struct{ cursor, body string }{
 			"other body": {cursors[2], strings.Replace(body, `"x"`, `"y"`, 1)},
@@ -336,7 +346,7 @@
 			assert.Equal(t, status, 400, name)
 			assert.Assert(t, strings.Contains(text, `"code":"bad_cursor"`), text)
 		}
-		time.Sleep(time.Minute) // the engine has forgotten the stream: it is generated again, and checked
+		time.Sleep(time.Minute) // the engine has dropped the stream, so it is generated again and compared
 		status, _, rest = w.post(1, "/v1/completions", map[string]string{"Last-Event-ID": cursors[2]}, body)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, strings.Count(rest, "id: "), 2)
--- a/cli/e2e/queue_test.go
+++ b/cli/e2e/queue_test.go
@@ -11,10 +11,10 @@
 	operatorv1 "github.com/agateway/agateway/api/operator/v1"
 )
 
-// TestContractOrder: deployments that share engines are admitted in the order of their
-// contracts, whoever came first.
+// TestContractOrder checks that deployments that share engines are admitted in the order of their
+// contract classes, not of arrival.
 func TestContractOrder(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 1, slots: 4}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 1, slots: 4}, func(w *cluster) {
 		plans := w.deployment()
 		plans.Name, plans.Contract = "plan-writer", &operatorv1.Contract{Class: "background", DeadlineMs: 60000, QueueMs: 40000}
 		_, err := w.gateways[0].Config.PutDeployment(w.ctx(), plans, 0, "plans")
@@ -38,9 +38,9 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		ask("plan-writer", 4) // these run
+		ask("plan-writer", 4) // these take all slots
 		ask("plan-writer", 8) // these wait
-		ask("brief-llm", 4)   // and these go before them
+		ask("brief-llm", 4)   // these are admitted before those that wait
 		wg.Wait()
 		for i, model := range order {
 			assert.Equal(t, model == "brief-llm", i >= 4 && i < 8, "%v", order)
@@ -48,25 +48,26 @@
 	})
 }
 
-// TestLongQueueIsNotSilence: a caller that waits its turn for long hears so. Callers that
-// heard nothing took the instance for dead and asked again, until they gave up.
-func TestLongQueueIsNotSilence(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 1, slots: 2}, func(w *world) {
+// TestLongWaitIsNotTakenForFailure guards against callers that take the instance for dead while their
+// requests wait in the queue. Callers that received nothing retried until they gave up, so the
+// instance must send them something while they wait.
+func TestLongWaitIsNotTakenForFailure(t *testing.T) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 1, slots: 2}, func(w *cluster) {
 		d := w.deployment()
 		d.Contract = &operatorv1.Contract{Class: "long", DeadlineMs: 600000, QueueMs: 300000}
 		_, err := w.gateways[0].Config.PutDeployment(w.ctx(), d, 1, "long queue")
 		assert.NilError(t, err)
 		var wg sync.WaitGroup
-		for i := range 8 { // each takes six seconds, two at a time
+		for i := range 8 { // each takes 6 s, and two run at a time
 			wg.Go(func() {
 				r := w.request(300)
 				r.Prompt, r.Deadline = fmt.Sprint(i), 100*time.Second
-				a, err := w.client(0).Generate(w.ctx(), r)
-				w.check(r, a, err)
+				a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+				w.checkAnswer(r, a, err)
 				assert.Equal(t, a.Resumes, 0)
 			})
 		}
 		wg.Wait()
-		assert.Equal(t, w.total().Streams, int64(8))
+		assert.Equal(t, w.totalStats().Streams, int64(8))
 	})
 }
--- a/cli/e2e/recovery_test.go
+++ b/cli/e2e/recovery_test.go
@@ -14,17 +14,17 @@
 	"github.com/agateway/agateway/cli/standin/engine"
 )
 
-// engineFaults are brought about on the engine that serves, after some tokens.
-var engineFaults = map[string]func(w *world, i int){
-	"kill":   func(w *world, i int) { w.killEngine(i) },
-	"freeze": func(w *world, i int) { w.engines[i].SetFault(engine.Fault{Freeze: true}) },
-	"silent": func(w *world, i int) { w.engines[i].SetFault(engine.Fault{Silent: true}) },
-	"silent connection": func(w *world, i int) {
+// engineFaults inject a fault into engine i while it serves a stream.
+var engineFaults = map[string]func(w *cluster, i int){
+	"kill":   func(w *cluster, i int) { w.killEngine(i) },
+	"freeze": func(w *cluster, i int) { w.engines[i].SetFault(engine.Fault{Freeze: true}) },
+	"silent": func(w *cluster, i int) { w.engines[i].SetFault(engine.Fault{Silent: true}) },
+	"silent connection": func(w *cluster, i int) {
 		for g := range w.gateways {
 			w.net.Silence(fmt.Sprint("g", g), fmt.Sprint("e", i))
 		}
 	},
-	"cut off": func(w *world, i int) {
+	"cut off": func(w *cluster, i int) {
 		w.net.Partition(func(name string) int {
 			if name == fmt.Sprint("e", i) {
 				return 1
@@ -32,31 +32,31 @@
 			return 0
 		})
 	},
-	"cross": func(w *world, i int) { w.engines[i].SetFault(engine.Fault{Cross: true}) },
-	"skip":  func(w *world, i int) { w.engines[i].SetFault(engine.Fault{Skip: 25}) },
-	"late":  func(w *world, i int) { w.engines[i].SetFault(engine.Fault{DelayMS: 700}) },
-	"pause, return": func(w *world, i int) {
+	"cross": func(w *cluster, i int) { w.engines[i].SetFault(engine.Fault{Cross: true}) },
+	"skip":  func(w *cluster, i int) { w.engines[i].SetFault(engine.Fault{Skip: 25}) },
+	"late":  func(w *cluster, i int) { w.engines[i].SetFault(engine.Fault{DelayMS: 700}) },
+	"pause, return": func(w *cluster, i int) {
 		w.engines[i].SetFault(engine.Fault{Freeze: true})
 		time.AfterFunc(time.Second, func() { w.engines[i].SetFault(engine.Fault{}) })
 	},
-	"leaving": func(w *world, i int) { w.engines[i].SetFault(engine.Fault{Leaving: true}) },
+	"leaving": func(w *cluster, i int) { w.engines[i].SetFault(engine.Fault{Leaving: true}) },
 }
 
-// TestEngineFaults brings each fault about under each policy, with engines whose texts are
-// the same and with engines whose texts differ from try to try.
+// TestEngineFaults injects each fault under each policy, with engines that generate the same text
+// in each attempt (salt 0) and with engines whose text differs (salt 1).
 func TestEngineFaults(t *testing.T) {
 	for name, fault := range engineFaults {
 		for _, policy := range []string{"latency", "frugal"} {
 			for _, salt := range []uint64{0, 1} {
 				t.Run(fmt.Sprintf("%s/%s/salt %d", name, policy, salt), func(t *testing.T) {
-					run(t, shape{gateways: 1, engines: 4, policy: policy, salt: salt}, func(w *world) {
+					runCluster(t, clusterConfig{gateways: 1, engines: 4, policy: policy, textSalt: salt}, func(w *cluster) {
 						r := w.request(60)
 						go func() {
-							time.Sleep(20 * token)
-							fault(w, w.serving())
+							time.Sleep(20 * tokenInterval)
+							fault(w, w.servingEngine())
 						}()
-						a, err := w.client(0).Generate(w.ctx(), r)
-						w.check(r, a, err)
+						a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+						w.checkAnswer(r, a, err)
 						assert.Assert(t, a.LongestGap < 3*time.Second, "%v", a.LongestGap)
 					})
 				})
@@ -65,16 +65,16 @@
 	}
 }
 
-// TestFaultsTwice brings two faults about, the second on the engine that took over.
-func TestFaultsTwice(t *testing.T) {
+// TestTwoEngineFaults injects two faults, the second into the engine that took over.
+func TestTwoEngineFaults(t *testing.T) {
 	for first, f := range engineFaults {
 		for second, g := range engineFaults {
 			t.Run(first+"/"+second, func(t *testing.T) {
-				run(t, shape{gateways: 1, engines: 4, policy: "latency", salt: 1}, func(w *world) {
+				runCluster(t, clusterConfig{gateways: 1, engines: 4, policy: "latency", textSalt: 1}, func(w *cluster) {
 					r := w.request(80)
 					go func() {
-						time.Sleep(20 * token)
-						i := w.serving()
+						time.Sleep(20 * tokenInterval)
+						i := w.servingEngine()
 						f(w, i)
 						time.Sleep(time.Second)
 						for j, e := range w.engines {
@@ -84,30 +84,32 @@
 							}
 						}
 					}()
-					a, err := w.client(0).Generate(w.ctx(), r)
-					w.check(r, a, err)
+					a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+					w.checkAnswer(r, a, err)
 				})
 			})
 		}
 	}
 }
 
-func TestCleanRunCostsNothing(t *testing.T) {
+// TestNoExtraWorkWithoutFaults checks that without faults each request takes one stream, each token
+// is generated once and nothing is cancelled.
+func TestNoExtraWorkWithoutFaults(t *testing.T) {
 	for _, policy := range []string{"latency", "frugal"} {
 		t.Run(policy, func(t *testing.T) {
-			run(t, shape{gateways: 2, engines: 3, policy: policy}, func(w *world) {
-				before := w.total()
+			runCluster(t, clusterConfig{gateways: 2, engines: 3, policy: policy}, func(w *cluster) {
+				before := w.totalStats()
 				var wg sync.WaitGroup
 				for i := range 20 {
 					wg.Go(func() {
 						r := w.request(50)
 						r.Prompt = fmt.Sprintf("%d %s", i, prompt)
-						a, err := w.client(i%2).Generate(w.ctx(), r)
-						w.check(r, a, err)
+						a, err := w.callerOfAll(i%2).Generate(w.ctx(), r)
+						w.checkAnswer(r, a, err)
 					})
 				}
 				wg.Wait()
-				after := w.total()
+				after := w.totalStats()
 				assert.Equal(t, after.Streams-before.Streams, int64(20))
 				assert.Equal(t, after.Generated-before.Generated, int64(20*50))
 				assert.Equal(t, after.Cancelled, int64(0))
@@ -116,41 +118,42 @@
 	}
 }
 
-// TestGatewayDeath kills the caller's instance in the middle of an answer.
-func TestGatewayDeath(t *testing.T) {
+// TestInstanceKilled kills the instance that serves a caller in the middle of an answer. The answer
+// must continue at another instance, also when the engine fails at the same time.
+func TestInstanceKilled(t *testing.T) {
 	for name, c := range map[string]struct {
 		key      string
 		noCursor bool
-		also     func(w *world)
+		also     func(w *cluster)
 		salt     uint64
 	}{
 		"cursor":                         {"", false, nil, 1},
 		"cursor and key":                 {"k1", false, nil, 1},
 		"key only":                       {"k2", true, nil, 1},
-		"cursor, engine dies too":        {"", false, func(w *world) { w.killEngine(w.serving()) }, 0},
-		"cursor and tokens, engine dies": {"", false, func(w *world) { w.killEngine(w.serving()) }, 1},
-		"key, engine freezes too":        {"k3", false, func(w *world) { w.engines[w.serving()].SetFault(engine.Fault{Freeze: true}) }, 0},
-		"key only, engine is dead":       {"k4", true, func(w *world) { w.killEngine(w.serving()) }, 1},
+		"cursor, engine dies too":        {"", false, func(w *cluster) { w.killEngine(w.servingEngine()) }, 0},
+		"cursor and tokens, engine dies": {"", false, func(w *cluster) { w.killEngine(w.servingEngine()) }, 1},
+		"key, engine freezes too":        {"k3", false, func(w *cluster) { w.engines[w.servingEngine()].SetFault(engine.Fault{Freeze: true}) }, 0},
+		"key only, engine is dead":       {"k4", true, func(w *cluster) { w.killEngine(w.servingEngine()) }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, shape{gateways: 3, engines: 4, policy: "latency", salt: c.salt}, func(w *world) {
+			runCluster(t, clusterConfig{gateways: 3, engines: 4, policy: "latency", textSalt: c.salt}, func(w *cluster) {
 				r := w.request(100)
 				r.SendTokens = name == "cursor and tokens, engine dies"
 				r.IdempotencyKey, r.NoCursor = c.key, c.noCursor
-				before := w.total()
+				before := w.totalStats()
 				go func() {
-					time.Sleep(30 * token)
+					time.Sleep(30 * tokenInterval)
 					if c.also != nil {
 						c.also(w)
 					}
 					w.killServingGateway()
 				}()
-				a, err := w.client(0).Generate(w.ctx(), r)
-				w.check(r, a, err)
+				a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+				w.checkAnswer(r, a, err)
 				assert.Assert(t, a.Resumes >= 1)
-				if c.also == nil { // the running stream was taken over: no work is done again
-					assert.Equal(t, w.total().Generated-before.Generated, int64(100))
-					assert.Equal(t, w.total().Streams-before.Streams, int64(1))
+				if c.also == nil { // the running stream is taken over, so no work is repeated
+					assert.Equal(t, w.totalStats().Generated-before.Generated, int64(100))
+					assert.Equal(t, w.totalStats().Streams-before.Streams, int64(1))
 				}
 			})
 		})
@@ -158,7 +161,7 @@
 }
 
 // killServingGateway kills the instance that has a request in progress.
-func (w *world) killServingGateway() {
+func (w *cluster) killServingGateway() {
 	for i, g := range w.gateways {
 		if g.Pipeline.OpenRequests() > 0 {
 			w.killGateway(i)
@@ -168,11 +171,12 @@
 	w.t.Error("no gateway serves")
 }
 
-// TestTwoReasksAtOnce asks twice with the key of a running request: one of them gets the
-// whole answer, the other is told so, and one generation runs.
-func TestTwoReasksAtOnce(t *testing.T) {
-	run(t, shape{gateways: 3, engines: 4, policy: "latency"}, func(w *world) {
-		before := w.total()
+// TestConcurrentRetriesWithOneKey retries twice with the key of a running request. One of the three
+// must get the whole answer, the others must be told that they are superseded, and only one
+// generation may run.
+func TestConcurrentRetriesWithOneKey(t *testing.T) {
+	runCluster(t, clusterConfig{gateways: 3, engines: 4, policy: "latency"}, func(w *cluster) {
+		before := w.totalStats()
 		r := w.request(100)
 		r.IdempotencyKey, r.NoCursor = "key", true
 		complete, refused := 0, 0
@@ -180,13 +184,13 @@
 		var wg sync.WaitGroup
 		for i := range 3 {
 			wg.Go(func() {
-				time.Sleep(time.Duration(i) * 10 * token)
+				time.Sleep(time.Duration(i) * 10 * tokenInterval)
 				c := caller.New(caller.Options{Entries: []string{w.gateways[i].Callers}, Key: teamKey, Network: w.net.Node("caller")})
 				a, err := c.Generate(w.ctx(), r)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
-					w.check(r, a, err)
+					w.checkAnswer(r, a, err)
 					complete++
 					return
 				}
@@ -197,24 +201,25 @@
 		wg.Wait()
 		assert.Equal(t, complete, 1)
 		assert.Equal(t, refused, 2)
-		assert.Equal(t, w.total().Generated-before.Generated, int64(100))
+		assert.Equal(t, w.totalStats().Generated-before.Generated, int64(100))
 	})
 }
 
-// TestOrphansAreCancelled kills the instance of a caller that does not come back.
+// TestOrphansAreCancelled kills the instance of a caller that does not come back. No stream may
+// stay open.
 func TestOrphansAreCancelled(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		t.Run("key "+key, func(t *testing.T) {
-			run(t, shape{gateways: 3, engines: 2, policy: "frugal"}, func(w *world) {
+			runCluster(t, clusterConfig{gateways: 3, engines: 2, policy: "frugal"}, func(w *cluster) {
 				ctx, cancel := context.WithCancel(w.ctx())
-				go func() { // it asks once, and goes
+				go func() { // sends one request and gives up when ctx is cancelled
 					r := w.request(5000)
 					r.IdempotencyKey = key
-					_, _ = w.client(0).Generate(ctx, r)
+					_, _ = w.callerOfAll(0).Generate(ctx, r)
 				}()
 				time.Sleep(3 * time.Second)
-				assert.Equal(t, w.total().Streams, int64(1))
-				w.net.SetCrashed("caller", true) // it can't connect any more
+				assert.Equal(t, w.totalStats().Streams, int64(1))
+				w.net.SetCrashed("caller", true) // the caller can't connect any more
 				w.killServingGateway()
 				cancel()
 				time.Sleep(40 * time.Second)
@@ -226,12 +231,13 @@
 	}
 }
 
-// TestCallerGone cancels the stream of a caller that does not come back.
-func TestCallerGone(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 2, policy: "frugal"}, func(w *world) {
+// TestCallerTimeoutCancelsStream checks that the stream of a caller that gives up at its deadline
+// is cancelled.
+func TestCallerTimeoutCancelsStream(t *testing.T) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 2, policy: "frugal"}, func(w *cluster) {
 		r := w.request(5000)
 		r.Deadline = time.Second
-		_, err := w.client(0).Generate(w.ctx(), r)
+		_, err := w.callerOfAll(0).Generate(w.ctx(), r)
 		assert.Assert(t, err != nil)
 		time.Sleep(10 * time.Second)
 		for _, e := range w.engines {
@@ -240,9 +246,10 @@
 	})
 }
 
-// TestAllEnginesGone: a refusal with the time to come back, in the caller's time.
-func TestAllEnginesGone(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 2, policy: "latency"}, func(w *world) {
+// TestAllEnginesKilled checks that a request without any engine is refused within the time that it
+// may wait, with a time to retry after, and at once when the platform lists no engine any more.
+func TestAllEnginesKilled(t *testing.T) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 2, policy: "latency"}, func(w *cluster) {
 		w.killEngine(0)
 		w.killEngine(1)
 		began := time.Now()
@@ -251,7 +258,7 @@
 		assert.Assert(t, header.Get("Retry-After") != "")
 		assert.Equal(t, header.Get("Agateway-Ran"), "not_run")
 		assert.Assert(t, time.Since(began) <= 4*time.Second)
-		time.Sleep(30 * time.Second) // the platform's list has forgotten them
+		time.Sleep(30 * time.Second) // the engines are no longer in the platform's list
 		began = time.Now()
 		status, _, _ = w.post(0, "/v1/completions", nil, `{"model":"brief-llm","prompt":"x","max_tokens":5}`)
 		assert.Equal(t, status, 503)
@@ -259,12 +266,13 @@
 	})
 }
 
-// TestEngineReturnsWithinTheWait: a request waits in order while its contract allows.
+// TestEngineReturnsWithinTheWait stops all engines during an answer and lets them continue within
+// the time that the contract allows a request to wait. The answer must be complete.
 func TestEngineReturnsWithinTheWait(t *testing.T) {
-	run(t, shape{gateways: 1, engines: 2, policy: "latency"}, func(w *world) {
+	runCluster(t, clusterConfig{gateways: 1, engines: 2, policy: "latency"}, func(w *cluster) {
 		r := w.request(60)
 		go func() {
-			time.Sleep(20 * token)
+			time.Sleep(20 * tokenInterval)
 			for _, e := range w.engines {
 				e.SetFault(engine.Fault{Freeze: true})
 			}
@@ -273,17 +281,17 @@
 				e.SetFault(engine.Fault{})
 			}
 		}()
-		a, err := w.client(0).Generate(w.ctx(), r)
-		w.check(r, a, err)
+		a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+		w.checkAnswer(r, a, err)
 	})
 }
 
-// TestVersionsAreNotMixed: the deployment names no version, and its engines have loaded
-// two. The engine that serves dies, with or without its gateway: the answer goes on with
-// the same version or not at all.
+// TestVersionsAreNotMixed uses a deployment without a model version, and engines with two versions.
+// The serving engine is killed, with or without the instance. The answer must continue with the
+// same version or end.
 func TestVersionsAreNotMixed(t *testing.T) {
 	for name, c := range map[string]struct {
-		ones    int // engines with version 1, of 4
+		ones    int // number of engines with version 1, of 4
 		gateway bool
 		whole   bool
 	}{
@@ -293,30 +301,30 @@
 		"gateway too, no other engine has":   {1, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := shape{gateways: 2, engines: 4, policy: "latency", anyVersion: true, versions: func(i int) string {
+			s := clusterConfig{gateways: 2, engines: 4, policy: "latency", anyVersion: true, modelVersion: func(i int) string {
 				if i < c.ones {
 					return "1"
 				}
 				return "2"
 			}}
-			run(t, s, func(w *world) {
+			runCluster(t, s, func(w *cluster) {
 				r := w.request(60)
 				r.SendTokens, r.Deadline = true, 8*time.Second
 				for _, e := range w.engines[c.ones:] {
-					e.SetFault(engine.Fault{Refuse: true}) // so that version 1 serves first
+					e.SetFault(engine.Fault{Refuse: true}) // so that an engine with version 1 serves
 				}
 				go func() {
-					time.Sleep(20 * token)
+					time.Sleep(20 * tokenInterval)
 					for _, e := range w.engines[c.ones:] {
 						e.SetFault(engine.Fault{})
 					}
-					w.killEngine(w.serving())
+					w.killEngine(w.servingEngine())
 					if c.gateway {
 						w.killServingGateway()
 					}
 				}()
-				a, err := w.client(0).Generate(w.ctx(), r)
-				w.dep.Version = "1"
+				a, err := w.callerOfAll(0).Generate(w.ctx(), r)
+				w.generationDeployment.Version = "1"
 				want := engine.Answer(startRequest(w, r.Prompt, r.MaxTokens))
 				if c.whole {
 					assert.NilError(t, err)
