--- a/cli/cmd/agateway/main.go
+++ b/cli/cmd/agateway/main.go
@@ -1,5 +1,5 @@
-// Command agateway is the command line for operators and callers. It also runs load and fault tests and
-// the stand-ins of external systems. The exit codes are those of package command.
+// Command agateway is the command line for operators and callers. It also runs load and fault tests
+// and the stand-ins of external systems. The exit codes are those of package command.
 package main
 
 import (
--- a/cli/command/command_test.go
+++ b/cli/command/command_test.go
@@ -67,8 +67,8 @@
 	return name
 }
 
-// TestCreateDeployment checks that create sends the deployment of the file with the given operation id or
-// with a new one, and that it prints the stored version as text and as JSON.
+// TestCreateDeployment checks that create sends the deployment of the file with the given operation
+// id or with a new one, and that it prints the stored version as text and as JSON.
 func TestCreateDeployment(t *testing.T) {
 	s := &fakeService{}
 	out, err := runCommand(t, s, "deployment", "create", "../../examples/dala/brief-llm.json", "--operation", "op")
@@ -104,8 +104,8 @@
 	assert.Equal(t, hashKey(key), hash)
 }
 
-// TestExitCodes checks the exit code for each kind of error. Scripts tell a conflict or an outage from a
-// wrong command line by it.
+// TestExitCodes checks the exit code for each kind of error. Scripts tell a conflict or an outage
+// from a wrong command line by it.
 func TestExitCodes(t *testing.T) {
 	good := "../../examples/dala/brief-llm.json"
 	for name, c := range map[string]struct {
--- a/cli/command/root.go
+++ b/cli/command/root.go
@@ -1,5 +1,6 @@
-// Package command implements the command line of agateway: commands for operators and callers, for load
-// and fault tests, for logs and the state of instances, and for the stand-ins of external systems.
+// Package command implements the command line of agateway: commands for operators and callers, for
+// load and fault tests, for logs and the state of instances, and for the stand-ins of external
+// systems.
 package command
 
 import (
@@ -57,8 +58,8 @@
 // usageError marks an error in the command line or in a file that it names.
 type usageError struct{ error }
 
-// ExitCode returns the exit code for an error of a command. A refusal with a time to retry after gives
-// ExitUnavailable.
+// ExitCode returns the exit code for an error of a command. A refusal with a time to retry after
+// gives ExitUnavailable.
 func ExitCode(err error) int {
 	var usage usageError
 	if errors.As(err, &usage) {
--- a/cli/explain/explain.go
+++ b/cli/explain/explain.go
@@ -1,9 +1,10 @@
-// Package explain builds the timeline of one request from the logs of all instances: which decisions were
-// made, in order and from which inputs, and what the instances logged about themselves and the endpoints
-// meanwhile.
+// Package explain builds the timeline of one request from the logs of all instances: which
+// decisions were made, in order and from which inputs, and what the instances logged about
+// themselves and the endpoints meanwhile.
 //
-// Failure modes: lines that are not JSON are skipped and counted, because logs may contain other output.
-// Instances drop lines when their log budget is used up. The timeline then says how many lines are missing.
+// Failure modes: lines that are not JSON are skipped and counted, because logs may contain other
+// output. Instances drop lines when their log budget is used up. The timeline then says how many
+// lines are missing.
 package explain
 
 import (
@@ -28,8 +29,8 @@
 	Fields map[string]any
 }
 
-// Names of fields in a log line. The age is that of the configuration: the time since it was last known to
-// be the newest, in milliseconds.
+// Names of fields in a log line. The age is that of the configuration: the time since it was last
+// known to be the newest, in milliseconds.
 const (
 	fieldTime     = "time"
 	fieldInstance = "instance"
@@ -50,8 +51,8 @@
 // maxLineBytes is the maximum length of a line. A longer line ends the reading with an error.
 const maxLineBytes = 1 << 20
 
-// Read adds the lines of a log. Text before the JSON of a line is ignored, because log collectors add a
-// prefix.
+// Read adds the lines of a log. Text before the JSON of a line is ignored, because log collectors
+// add a prefix.
 func (l *Log) Read(r io.Reader) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
@@ -90,9 +91,9 @@
 type Timeline struct {
 	Request string
 	Lines   []Line
-	// InstanceLines are the lines that name no request, from the instances that handled this one. Lines
-	// about endpoints that the request did not use are left out. The lines begin a lookback before the
-	// first line of the request and end with its last line.
+	// InstanceLines are the lines that name no request, from the instances that handled this one.
+	// Lines about endpoints that the request did not use are left out. The lines begin a lookback
+	// before the first line of the request and end with its last line.
 	InstanceLines []Line
 	// DroppedLines counts the lines that these instances dropped in the same time.
 	DroppedLines int
@@ -149,8 +150,9 @@
 // instance confirms its configuration within a second.
 const oldAge = 1500 * time.Millisecond
 
-// Print writes one line per decision, with the time since the first line of the request. The lines of the
-// instances and the number of dropped lines follow. A timeline without lines must not be printed.
+// Print writes one line per decision, with the time since the first line of the request. The lines
+// of the instances and the number of dropped lines follow. A timeline without lines must not be
+// printed.
 func (t *Timeline) Print(w io.Writer) error {
 	first := t.Lines[0].Time
 	var b strings.Builder
--- a/cli/explain/explain_test.go
+++ b/cli/explain/explain_test.go
@@ -21,9 +21,10 @@
 {"instance":"c","level":"warning","msg":"store lost","time":"2026-01-01T00:00:03Z"}
 `
 
-// TestTimeline reads the logs of three instances and checks the whole output for one request: its lines
-// in order of time, the old configuration marked, the lines of the two instances that handled it, and the
-// number of dropped lines. Lines of other requests, instances and endpoints must not appear.
+// TestTimeline reads the logs of three instances and checks the whole output for one request: its
+// lines in order of time, the old configuration marked, the lines of the two instances that handled
+// it, and the number of dropped lines. Lines of other requests, instances and endpoints must not
+// appear.
 func TestTimeline(t *testing.T) {
 	var l Log
 	assert.NilError(t, l.Read(strings.NewReader(testLogs)))
