--- a/cli/command/bench.go
+++ b/cli/command/bench.go
@@ -12,9 +12,10 @@
 	"github.com/agateway/agateway/cli/bench"
 )
 
-// errBroken means that a run lost an answer or got a wrong one.
-var errBroken = errors.New("an answer was lost or wrong")
+// errBadAnswers is returned when a run lost an answer or received a wrong one.
+var errBadAnswers = errors.New("an answer was lost or wrong")
 
+// benchCommand returns the command that runs a load test. It fails if an answer was lost or wrong.
 func benchCommand(o *options) *cobra.Command {
 	cfg := bench.Config{Log: io.Discard}
 	c := &cobra.Command{
@@ -35,8 +36,8 @@
 			if err := o.print(cmd.OutOrStdout(), r, func() error { return r.Write(cmd.OutOrStdout()) }); err != nil {
 				return err
 			}
-			if r.Bad() {
-				return errBroken
+			if r.HasBadAnswers() {
+				return errBadAnswers
 			}
 			return nil
 		},
@@ -46,10 +47,10 @@
 	f.StringVar(&cfg.Policy, "policy", "latency", "latency, frugal, restart or no-probe")
 	f.StringVar(&cfg.Fault, "fault", "none", strings.Join(bench.Faults, ", "))
 	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of arrivals and of what is struck")
-	f.Float64Var(&cfg.Share, "share", 0.1, "part of the engines or instances that is struck")
+	f.Float64Var(&cfg.FaultShare, "share", 0.1, "part of the engines or instances that is struck")
 	f.Float64Var(&cfg.Load, "load", 0, "share of the slots kept busy (default: the profile's)")
 	f.DurationVar(&cfg.Duration, "duration", 0, "how long requests are sent (default: the profile's)")
-	f.BoolVar(&cfg.Once, "no-retry", false, "callers take a refusal as it is, without asking again")
-	f.BoolVar(&cfg.Key, "by-key", false, "callers keep nothing and ask again by idempotency key")
+	f.BoolVar(&cfg.NoRetry, "no-retry", false, "callers take a refusal as it is, without asking again")
+	f.BoolVar(&cfg.RetryByKey, "by-key", false, "callers keep nothing and ask again by idempotency key")
 	return c
 }
--- a/cli/command/explain.go
+++ b/cli/command/explain.go
@@ -18,15 +18,16 @@
 			if err != nil {
 				return err
 			}
-			story, found := log.Of(args[0])
+			timeline, found := log.TimelineOf(args[0])
 			if !found {
-				return fmt.Errorf("no line names request %s (%d lines read, %d are no log lines)", args[0], len(log.Lines), log.Unread)
+				return fmt.Errorf("no line names request %s (%d lines read, %d are no log lines)", args[0], len(log.Lines), log.Unparsed)
 			}
-			return story.Print(cmd.OutOrStdout())
+			return timeline.Print(cmd.OutOrStdout())
 		},
 	}
 }
 
+// readLogs reads all files, or standard input if there are none.
 func readLogs(cmd *cobra.Command, files []string) (*explain.Log, error) {
 	log := &explain.Log{}
 	if len(files) == 0 {
@@ -38,7 +39,7 @@
 			return nil, err
 		}
 		err = log.Read(f)
-		_ = f.Close() // it was only read
+		_ = f.Close() // the file was only read, so closing it loses nothing
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
