--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -6,5 +6,5 @@
 // comparison for each route of the host, the longest prefix first.
 //
 // Failure modes: a table does not know its own age. A user of a table has to know when it was last
-// proved to be in force (package revision, [revision.Proof]).
+// proved to be in force (package revision, [revision.Freshness]).
 package route
--- a/gateway/forward/crashes.go
+++ b/gateway/forward/crashes.go
@@ -145,7 +145,7 @@
 }
 
 // recordServingTime ends the crash trial of a request after its stream has run for
-// [crashes.TriedAfter], and clears the request after [crashes.ServedAfter].
+// [crashes.TrialDuration], and clears the request after [crashes.ProgressAfter].
 func (s *session) recordServingTime(now time.Time) {
 	servingTime := now.Sub(s.firstEventAt)
 	if servingTime >= crashes.TrialDuration {
--- a/gateway/pipeline/claim.go
+++ b/gateway/pipeline/claim.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// onceErrors maps the error types of package once to errors for callers.
+// onceErrors maps the error types of package atmostonce to errors for callers.
 var onceErrors = []struct {
 	errorType  *errorx.Type
 	code       apierr.Code
@@ -132,7 +132,7 @@
 	{atmostonce.ErrBadTicket, apierr.BadTicket, apierr.NotRun, 0},
 }
 
-// OnceError converts an error of package once to an [apierr.Error].
+// OnceError converts an error of package atmostonce to an [apierr.Error].
 func OnceError(err error) error {
 	for _, e := range onceErrors {
 		if errorx.IsOfType(err, e.errorType) {
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -39,8 +39,8 @@
 	p.view.Retain(keep)
 }
 
-// Pick chooses an endpoint. The error is [routing.ErrNone] when no endpoint is eligible, and
-// [routing.ErrFull] when eligible endpoints exist but all are full.
+// Pick chooses an endpoint. The error is [routing.ErrNoEndpoint] when no endpoint is eligible,
+// and [routing.ErrFull] when eligible endpoints exist but all are full.
 func (p *Placement) Pick(r *routing.Request) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
