--- a/gateway/crashes/attributor.go
+++ b/gateway/crashes/attributor.go
@@ -77,9 +77,9 @@
 	// Unreachable reports whether an endpoint that was not told to leave refuses or ignores
 	// connections; nil if silence is not to be attributed.
 	Unreachable func(endpoint string) bool
-	// Nearby returns the number of endpoints in the data centre of an endpoint, and how many of
-	// them failed last between from and to.
-	Nearby func(endpoint string, from, to time.Time) (failed, all int)
+	// DataCentreFailures returns the number of endpoints in the data centre of an endpoint, and how
+	// many of them failed last between from and to.
+	DataCentreFailures func(endpoint string, from, to time.Time) (failed, all int)
 
 	pending atomic.Int64 // crashes that are being attributed in the background
 }
@@ -168,6 +168,6 @@
 // centre. It also returns the inputs of that decision. It waits for failureReportWait.
 func (a *Attributor) isolated(l *Loss, crash crashers.Crash) (inputs logrus.Fields, ok bool) {
 	pause.For(context.Background(), failureReportWait)
-	failed, all := a.Nearby(crash.Endpoint, crash.At.Add(-coincidenceLookback), crash.At.Add(failureReportWait))
+	failed, all := a.DataCentreFailures(crash.Endpoint, crash.At.Add(-coincidenceLookback), crash.At.Add(failureReportWait))
 	return logrus.Fields{"request": l.ID, "failed_nearby": failed, "endpoints_nearby": all}, 2*failed < all || failed <= 1
 }
--- a/gateway/crashes/crashes.go
+++ b/gateway/crashes/crashes.go
@@ -103,7 +103,7 @@
 
 // Admit decides whether a request may be sent to an endpoint of a service. If the request is
 // Careful and not Busy, its trial belongs to owner from then on, and owner ends it with
-// [Registry.Tried].
+// [Registry.ReleaseTrial].
 func (r *Registry) Admit(req crashers.Request, service string, owner any) Admission {
 	if !r.HasRecords() {
 		return Admission{}
@@ -129,9 +129,9 @@
 	return true
 }
 
-// Ended records that an endpoint crashed while it had a request. inputs are what the attribution
+// RecordCrash records that an endpoint crashed while it had a request. inputs are what the attribution
 // was based on, for the log.
-func (r *Registry) Ended(req crashers.Request, crash crashers.Crash, inputs logrus.Fields) {
+func (r *Registry) RecordCrash(req crashers.Request, crash crashers.Crash, inputs logrus.Fields) {
 	r.mu.Lock()
 	now := time.Now()
 	stopped := r.core.RecordCrash(now, req, crash)
@@ -171,17 +171,17 @@
 	r.Options.OnStopped(req)
 }
 
-// Served records that a request was answered, and clears it: it does not crash the endpoints that
-// run it.
-func (r *Registry) Served(req crashers.Request) {
+// ClearOnAnswer records that a request was answered, and clears it: it does not crash the endpoints
+// that run it.
+func (r *Registry) ClearOnAnswer(req crashers.Request) {
 	if r.HasRecords() {
 		r.clear(req, "served")
 	}
 }
 
-// Progressed records that a request has been served for [ProgressAfter]. It clears the request
+// ClearOnProgress records that a request has been served for [ProgressAfter]. It clears the request
 // unless a late crash is recorded for it.
-func (r *Registry) Progressed(req crashers.Request) {
+func (r *Registry) ClearOnProgress(req crashers.Request) {
 	if r.HasRecords() {
 		r.clearWith(req, "served for a while", r.core.ClearOnProgress)
 	}
@@ -225,8 +225,8 @@
 	return true
 }
 
-// Tried ends the trial of a request. It does nothing if owner does not have that trial.
-func (r *Registry) Tried(req crashers.Request, owner any) {
+// ReleaseTrial ends the trial of a request. It does nothing if owner does not have that trial.
+func (r *Registry) ReleaseTrial(req crashers.Request, owner any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trials[req] != owner {
--- a/gateway/crashes/crashes_test.go
+++ b/gateway/crashes/crashes_test.go
@@ -158,7 +158,7 @@
 	for n, i := range at {
 		sent := time.Now()
 		time.Sleep(time.Second)
-		w.registries[i].Ended(harmful, crashers.Crash{Endpoint: fmt.Sprint("e", n), Service: "engines", Phase: crashers.Begun, Sent: sent, At: time.Now()}, nil)
+		w.registries[i].RecordCrash(harmful, crashers.Crash{Endpoint: fmt.Sprint("e", n), Service: "engines", Phase: crashers.Begun, Sent: sent, At: time.Now()}, nil)
 	}
 }
 
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -222,11 +222,11 @@
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
 	if a.gaveUpOnSilence.Load() {
-		a.session.f.judge.AttributeSilence(a.potentialLoss)
+		a.session.f.attributor.AttributeSilence(a.potentialLoss)
 	}
 	if ctx.Err() == nil {
 		a.recordLoss()
-		a.session.f.judge.Attribute(ctx, &a.session.req.losses, a.potentialLoss)
+		a.session.f.attributor.Attribute(ctx, &a.session.req.losses, a.potentialLoss)
 	}
 	return message{kind: attemptFailed, failure: generation.Broken, err: err}
 }
--- a/gateway/forward/crashes.go
+++ b/gateway/forward/crashes.go
@@ -21,17 +21,18 @@
 	// Verdict returns what may be done with a request to a service, and for how much longer it is
 	// stopped.
 	Verdict(req crashers.Request, service string) (crashers.Verdict, time.Duration)
-	// Ended reports that an endpoint crashed under a request, Progressed that an endpoint has
-	// served the request for a while, and Served that the whole answer arrived, also an error
-	// answer.
-	Ended(req crashers.Request, end crashers.Crash, inputs logrus.Fields)
-	Progressed(crashers.Request)
-	Served(crashers.Request)
+	// RecordCrash records that an endpoint crashed while it had a request. ClearOnProgress records
+	// that an endpoint has served the request for a while, and ClearOnAnswer that the whole answer
+	// arrived, also an error answer. Both clear the request of the suspicion that it crashes
+	// endpoints; after a late crash only ClearOnAnswer does.
+	RecordCrash(req crashers.Request, crash crashers.Crash, inputs logrus.Fields)
+	ClearOnProgress(crashers.Request)
+	ClearOnAnswer(crashers.Request)
 	// Admit reports whether a request may be sent to an endpoint of a service. A suspected request
-	// is on trial by owner from then on, until owner calls Tried. Only one owner tries it at a
-	// time.
+	// is on trial by owner from then on, until owner calls ReleaseTrial. Only one owner tries it
+	// at a time.
 	Admit(req crashers.Request, service string, owner any) crashes.Admission
-	Tried(req crashers.Request, owner any)
+	ReleaseTrial(req crashers.Request, owner any)
 }
 
 // noCrashes suspects no request.
@@ -40,13 +41,13 @@
 func (noCrashes) Verdict(crashers.Request, string) (crashers.Verdict, time.Duration) {
 	return crashers.Free, 0
 }
-func (noCrashes) Ended(crashers.Request, crashers.Crash, logrus.Fields) {}
-func (noCrashes) Progressed(crashers.Request)                           {}
-func (noCrashes) Served(crashers.Request)                               {}
+func (noCrashes) RecordCrash(crashers.Request, crashers.Crash, logrus.Fields) {}
+func (noCrashes) ClearOnProgress(crashers.Request)                            {}
+func (noCrashes) ClearOnAnswer(crashers.Request)                              {}
 func (noCrashes) Admit(crashers.Request, string, any) crashes.Admission {
 	return crashes.Admission{}
 }
-func (noCrashes) Tried(crashers.Request, any) {}
+func (noCrashes) ReleaseTrial(crashers.Request, any) {}
 
 // refuseIfStopped refuses a request that is stopped.
 func (f *Forwarder) refuseIfStopped(req *request) *refusal {
@@ -69,9 +70,9 @@
 	return crashes.Loss{Request: req.identity, ID: req.ID, Endpoint: e.ID, Service: e.Service}
 }
 
-// processHasEnded reports whether the process of an endpoint that was not told to leave is gone:
+// hasCrashed reports whether the process of an endpoint that was not told to leave is gone:
 // its machine refuses connections.
-func (f *Forwarder) processHasEnded(id string) bool {
+func (f *Forwarder) hasCrashed(id string) bool {
 	e, ok := f.Placement.Get(id)
 	if !ok || e.State == routing.Leaving {
 		return false
@@ -140,7 +141,7 @@
 func (s *session) endCrashTrial() {
 	if s.inCrashTrial {
 		s.inCrashTrial = false
-		s.f.Crashes.Tried(s.req.identity, s)
+		s.f.Crashes.ReleaseTrial(s.req.identity, s)
 	}
 }
 
@@ -153,7 +154,7 @@
 	}
 	if !s.reportedProgress && servingTime >= crashes.ProgressAfter {
 		s.reportedProgress = true
-		s.f.Crashes.Progressed(s.req.identity)
+		s.f.Crashes.ClearOnProgress(s.req.identity)
 	}
 }
 
@@ -200,7 +201,7 @@
 }
 
 // endCrashTrial ends the crash trial of a plain request, if it has one.
-func (p *plain) endCrashTrial() { p.f.Crashes.Tried(p.req.identity, p) }
+func (p *plain) endCrashTrial() { p.f.Crashes.ReleaseTrial(p.req.identity, p) }
 
 // addSession and removeSession keep track of the sessions in progress.
 func (f *Forwarder) addSession(s *session) {
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -127,7 +127,7 @@
 type Forwarder struct {
 	Options
 	retryBudgets    *retryBudgets
-	judge           crashes.Attributor
+	attributor      crashes.Attributor
 	promptLocations promptLocations
 	locator         promptLocator
 	waitQueues      waitQueues
@@ -169,7 +169,7 @@
 	}
 	f.shutdownCtx, f.cancelRequests = context.WithCancel(context.Background())
 	if crashRecords != nil {
-		f.judge = crashes.Attributor{Record: crashRecords.Ended, HasCrashed: f.processHasEnded, Unreachable: f.isUnreachable, Nearby: o.Placement.DataCentreFailures}
+		f.attributor = crashes.Attributor{Record: crashRecords.RecordCrash, HasCrashed: f.hasCrashed, Unreachable: f.isUnreachable, DataCentreFailures: o.Placement.DataCentreFailures}
 	}
 	return f
 }
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -83,7 +83,7 @@
 		endHop(span, err)
 		p.f.logAttempt(p.req, e, result, reply, err)
 		if result == outcomeAnswered && reply.unread == nil {
-			p.f.Crashes.Served(p.req.identity) // also for a 5xx answer: the endpoint has survived the request
+			p.f.Crashes.ClearOnAnswer(p.req.identity) // also for a 5xx answer: the endpoint has survived the request
 		}
 		p.endCrashTrial()
 		if result == outcomeAnswered && !p.retryMayHelp(reply) {
@@ -275,7 +275,7 @@
 		trial.Late(time.Since(loss.SentAt))
 	}
 	if ctx.Err() == nil {
-		p.f.judge.Attribute(ctx, &p.req.losses, loss)
+		p.f.attributor.Attribute(ctx, &p.req.losses, loss)
 	}
 	return outcomeUnknown
 }
@@ -324,12 +324,12 @@
 			a.potentialLoss.FirstEventAt = a.potentialLoss.HeadAt
 		}
 		if ctx := p.req.httpRequest.Context(); ctx.Err() == nil {
-			p.f.judge.Attribute(ctx, &p.req.losses, a.potentialLoss)
+			p.f.attributor.Attribute(ctx, &p.req.losses, a.potentialLoss)
 		}
 		p.f.Log.Refusal(p.req.ID, "answer broke off", logrus.Fields{"error": err.Error()})
 		panic(http.ErrAbortHandler)
 	}
-	p.f.Crashes.Served(p.req.identity)
+	p.f.Crashes.ClearOnAnswer(p.req.identity)
 	a.unread.Finish()
 }
 
--- a/gateway/forward/session.go
+++ b/gateway/forward/session.go
@@ -315,7 +315,7 @@
 	s.freeCopy()
 	s.observeStream()
 	s.req.losses.End(true)
-	s.f.Crashes.Served(s.req.identity)
+	s.f.Crashes.ClearOnAnswer(s.req.identity)
 	s.f.metrics.answered.Inc(1)
 	s.f.Log.Decision(s.req.ID, "answered", logrus.Fields{
 		"events": s.relayedEvents, "attempts": len(s.attempts), "took_ms": time.Since(s.req.arrivedAt).Milliseconds(),
--- a/gateway/pipeline/crashes.go
+++ b/gateway/pipeline/crashes.go
@@ -110,8 +110,8 @@
 	return errorx.IsOfType(err, endpoint.ErrGone)
 }
 
-// nearby implements [crashes.Attributor.Nearby].
-func (d *Deps) nearby(name string, from, to time.Time) (failed, all int) {
+// dataCentreFailures implements [crashes.Attributor.DataCentreFailures].
+func (d *Deps) dataCentreFailures(name string, from, to time.Time) (failed, all int) {
 	e, ok := d.findIncarnation(name)
 	if !ok {
 		return 0, 0
@@ -122,14 +122,14 @@
 // clearOnProgress clears the request of a generation that has run for [crashes.ProgressAfter], and
 // ends its trial.
 func (s *session) clearOnProgress() {
-	s.Crashes.Progressed(s.request)
-	s.Crashes.Tried(s.request, s)
+	s.Crashes.ClearOnProgress(s.request)
+	s.Crashes.ReleaseTrial(s.request, s)
 }
 
-// recordServed clears the request of a generation that was completed, and ends its trial.
-func (s *session) recordServed() {
-	s.Crashes.Served(s.request)
-	s.Crashes.Tried(s.request, s)
+// clearOnAnswer clears the request of a generation that was completed, and ends its trial.
+func (s *session) clearOnAnswer() {
+	s.Crashes.ClearOnAnswer(s.request)
+	s.Crashes.ReleaseTrial(s.request, s)
 }
 
 // callTrial tracks whether a plain call crashes the endpoints that run it.
@@ -180,10 +180,10 @@
 	t.release()
 }
 
-// recordServed clears the request of a call that was answered.
-func (t *callTrial) recordServed() {
+// clearOnAnswer clears the request of a call that was answered.
+func (t *callTrial) clearOnAnswer() {
 	if t.Crashes.HasRecords() {
-		t.Crashes.Served(t.request())
+		t.Crashes.ClearOnAnswer(t.request())
 	}
 }
 
@@ -191,6 +191,6 @@
 func (t *callTrial) release() {
 	if t.careful {
 		t.careful = false
-		t.Crashes.Tried(t.request(), t)
+		t.Crashes.ReleaseTrial(t.request(), t)
 	}
 }
--- a/gateway/pipeline/deps.go
+++ b/gateway/pipeline/deps.go
@@ -56,7 +56,7 @@
 	e := &d.Settings.Endpoints
 	d.retries.budget = limits.NewRetryBudget(e.RetryShare, e.RetryReserve)
 	d.metrics = newMetrics(d.Scope)
-	d.attributor.Record, d.attributor.HasCrashed, d.attributor.Nearby = d.Crashes.Ended, d.hasCrashed, d.nearby
+	d.attributor.Record, d.attributor.HasCrashed, d.attributor.DataCentreFailures = d.Crashes.RecordCrash, d.hasCrashed, d.dataCentreFailures
 }
 
 // retryBudget is the retry budget that all requests of the instance share. It is safe for
--- a/gateway/pipeline/dispatch.go
+++ b/gateway/pipeline/dispatch.go
@@ -122,7 +122,7 @@
 		sentAt := time.Now()
 		resp, done, err := d.callEndpoint(ctx, &e, c, idempotent && attempt < maxPlainAttempts)
 		if err == nil {
-			t.recordServed()
+			t.clearOnAnswer()
 			return resp, done, nil
 		}
 		t.recordLoss(ctx, &e, sentAt, err)
--- a/gateway/pipeline/session.go
+++ b/gateway/pipeline/session.go
@@ -148,7 +148,7 @@
 		s.cancelAttempt(a)
 	case generation.Finish:
 		s.finish = &a
-		s.recordServed()
+		s.clearOnAnswer()
 		s.losses.End(true)
 		s.signalEnd()
 	case generation.Fail:
@@ -196,7 +196,7 @@
 
 // close ends the session. Nothing is sent to the caller after it.
 func (s *session) close() {
-	s.Crashes.Tried(s.request, s)
+	s.Crashes.ReleaseTrial(s.request, s)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.machine.Ended() {
--- a/gateway/pipeline/streams.go
+++ b/gateway/pipeline/streams.go
@@ -39,7 +39,7 @@
 	req.Weights = weights
 	e, err := s.pick(ctx, &req, time.Now().Add(capacityWait))
 	if err != nil {
-		s.Crashes.Tried(s.request, s)
+		s.Crashes.ReleaseTrial(s.request, s)
 		s.reportFailure(a.Attempt, generation.NoEndpoint, 0)
 		return
 	}
@@ -56,7 +56,7 @@
 	stream, err := s.Client.Open(ctx, e.Address, start)
 	if err = s.readStream(a.Attempt, id, stream, err); err != nil {
 		s.attributeCrash(ctx, &e, sentAt, at, err)
-		s.Crashes.Tried(s.request, s)
+		s.Crashes.ReleaseTrial(s.request, s)
 		s.reportEndpointFailure(a.Attempt, id, err)
 	}
 }
