--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -108,7 +108,7 @@
 		a.placed.PendingPrefill = s.req.PromptTokens
 	}
 	if a.placed.PendingPrefill > 0 && !mayBeCached {
-		a.prefillTokens = a.placed.PendingPrefill + s.f.Placement.UnreadTokens(e.ID)
+		a.prefillTokens = a.placed.PendingPrefill + s.f.Placement.PendingPrefillTokens(e.ID)
 	}
 	a.sentAt = time.Now()
 	a.potentialLoss = s.req.loss(e)
--- a/gateway/forward/waitqueue.go
+++ b/gateway/forward/waitqueue.go
@@ -23,14 +23,14 @@
 	lastID    atomic.Uint64
 }
 
-func (l *waitQueues) get(service string) *limits.WaitQueue {
-	if l.byService == nil {
-		l.byService = map[string]*limits.WaitQueue{}
+func (q *waitQueues) get(service string) *limits.WaitQueue {
+	if q.byService == nil {
+		q.byService = map[string]*limits.WaitQueue{}
 	}
-	queue := l.byService[service]
+	queue := q.byService[service]
 	if queue == nil {
 		queue = &limits.WaitQueue{}
-		l.byService[service] = queue
+		q.byService[service] = queue
 	}
 	return queue
 }
@@ -51,7 +51,7 @@
 // stream that is not expected to find room in time is refused immediately and told when room is
 // expected.
 func (f *Forwarder) awaitEngine(ctx context.Context, req *request) *refusal {
-	if f.Settings.Disabled.Line {
+	if f.Settings.Disabled.WaitQueue {
 		return nil
 	}
 	latest := req.arrivedAt.Add(defaultEngineWait)
--- a/gateway/front/peer_endpoints.go
+++ b/gateway/front/peer_endpoints.go
@@ -18,7 +18,7 @@
 	if !f.settings.Mechanisms.Announcements {
 		return routing.PeerReport{}
 	}
-	t := f.placement.Told()
+	t := f.placement.PeerReport()
 	t.Prefilled = f.forwarder.PromptLocations()
 	return t
 }
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -169,9 +169,9 @@
 	p.view.ObserveOngoingPrefill(time.Now(), id, tokens, elapsed)
 }
 
-// UnreadTokens returns the estimated number of prompt tokens that an engine has to prefill before
-// those of a new request.
-func (p *Placement) UnreadTokens(id string) int {
+// PendingPrefillTokens returns the estimated number of prompt tokens that an engine has to prefill
+// before those of a new request.
+func (p *Placement) PendingPrefillTokens(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.PendingPrefill(time.Now(), id)
@@ -221,9 +221,9 @@
 	return p.view.HoldsPrefix(time.Now(), prompt)
 }
 
-// Told returns what is announced to the other instances: what this instance has placed, and what it
-// learned about endpoints.
-func (p *Placement) Told() routing.PeerReport {
+// PeerReport returns what is announced to the other instances: what this instance has placed, and
+// what it learned about endpoints.
+func (p *Placement) PeerReport() routing.PeerReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -235,10 +235,10 @@
 
 // SetPeer records what another instance announced, and replaces what it announced before. The zero
 // value removes the instance.
-func (p *Placement) SetPeer(peer string, told routing.PeerReport) {
+func (p *Placement) SetPeer(peer string, report routing.PeerReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.SetPeerReport(time.Now(), peer, told)
+	p.view.SetPeerReport(time.Now(), peer, report)
 }
 
 // SetOwned sets the endpoints that this instance owns: it receives what all other instances place
