--- a/Makefile
+++ b/Makefile
@@ -11,15 +11,16 @@
 demo: build
 	./scripts/demo.sh
 
-# Vet runs in lint; here the tests run once each, with the race detector, but for those of KNOWN-RED.txt, which are printed.
-# Tests in virtual time run on one processor: on several, the detector ends them by itself, see docs/racedetector.
+# Runs each test once with the race detector, except the tests listed in KNOWN-RED.txt, which are
+# printed and skipped. Vet is off here since lint runs it. Tests in virtual time run on one
+# processor: on several, the race detector itself ends them, see docs/racedetector.
 GO_TEST := go test -race -count=1 -timeout 20m -vet=off
 IN_VIRTUAL_TIME = $$(go list -f '{{.ImportPath}} {{.TestImports}} {{.XTestImports}}' $(PACKAGES) | grep testing/synctest | cut -d' ' -f1)
 test:
 	$(GO_TEST) -skip "$$(./scripts/known-red.sh)" -cpu 1 $(IN_VIRTUAL_TIME)
 	$(GO_TEST) -skip "$$(./scripts/known-red.sh 2>/dev/null)" $$(go list $(PACKAGES) | grep -vxF "$(IN_VIRTUAL_TIME)")
 
-# Fleets of up to 1,000 instances, which take too long with the race detector.
+# Tests with fleets of up to 1,000 instances, which take too long with the race detector.
 test-large:
 	go test -count=1 -timeout 30m -vet=off -cpu 1 -run '^TestWhoIsAlive$$' ./gateway/exchange
 
@@ -28,25 +29,25 @@
 	go vet $(PACKAGES)
 	@for m in $(MODULES); do (cd $$m && go tool staticcheck ./...) || exit 1; done
 
-# The build line of the deploy file, as the platform runs it.
+# Runs the build command of deploy/system.toml as the platform does, and runs the binary once.
 deploy:
 	bash -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/system.toml)"
 	./target/agatewayd front print >/dev/null
 
-# The daemon as processes under random faults: make soak SEED=n SECONDS=s
+# Runs the daemon as several processes under random faults: make soak SEED=n SECONDS=s
 SEED ?= 1
 SECONDS ?= 20
 soak: build
 	./bin/agateway soak --seed $(SEED) --seconds $(SECONDS)
 
-# The soaks that once found a fault.
+# Repeats the soaks that have found a fault before.
 regressions: build
 	./bin/agateway soak --regressions
 
 bench:
 	go test -run '^$$' -bench . -benchmem $(PACKAGES)
 
-# Needs the network, for the generators; their output is committed.
+# Needs the network to install the generators. Their output is committed.
 generate:
 	cd api && PATH="$$(go env GOPATH)/bin:$$PATH" && \
 	go install github.com/bufbuild/buf/cmd/buf@v1.75.0 && \
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,9 +1,12 @@
 #!/usr/bin/env bash
-# What each mechanism is worth: days of a deployment are played with all mechanisms on, and with one after the other
-# switched off in [mechanisms] of the settings. Prints a row for each: the mean worth over all days and seeds, the
-# difference from all on (paired by day and seed), and its standard error.
+# Measures the effect of each mechanism on the score of benchmark scenarios. The scenarios are run
+# with all mechanisms on, and then with one mechanism at a time switched off in section [mechanisms]
+# of the settings. Prints a row for each: the mean score over all scenarios and seeds, the difference
+# from the runs with all mechanisms on (paired by scenario and seed), and its standard error. Runs
+# without a score are left out.
 #
-# A day is a name in the site file, or a file relative to the root of the checkout.
+# DAYS lists the scenarios. Each is a name in the site file, or a file relative to the root of the
+# checkout.
 #
 #   BENCH=path/of/the/bench DAYS="trouble-1 scale-1" SEEDS="1 2 3" JOBS=6 scripts/ablation.sh SITE [MECHANISM...]
 set -euo pipefail
@@ -21,7 +24,7 @@
   (cd "$work/$name" && "$BENCH" build >/dev/null)
 done
 
-play() { # MECHANISM DAY SEED: a line with its worth
+play() { # MECHANISM SCENARIO SEED: runs a scenario and prints a line with its score
   cd "$work/$1"
   local out
   out="out-$(basename "$2")-$3.txt"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The main job on one machine: a platform, six engines, a plain service and three instances
-# as processes of their own, faults while answers are in flight, every answer checked.
-# Ports come from the kernel; everything that was started is ended, by its id.
+# Runs the whole system on one machine: a platform, six engines, a plain service and three
+# instances, each as its own process. Injects faults while answers are in flight and checks every
+# answer. The kernel assigns the ports. On exit, all processes that were started are ended by id.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,4 +1,4 @@
-# Shared by the scripts: start processes and end them by their ids.
+# Functions shared by the scripts. All processes that were started are killed by id on exit.
 work=$(mktemp -d)
 pids=()
 cleanup() {
@@ -8,7 +8,8 @@
 }
 trap cleanup EXIT
 
-# start NAME COMMAND...: runs it in the background and waits for its line "ready ...".
+# start NAME COMMAND...: runs the command in the background and waits up to 10 s for its line
+# "ready ...". Prints its log and fails if that line does not come.
 start() {
   local name=$1
   shift
@@ -25,12 +26,12 @@
   return 1
 }
 
-# field NAME KEY: what NAME said of itself.
+# field NAME KEY: prints the value of KEY in the "ready" line of NAME.
 field() { sed -n "s/^ready .*$2=\([^ ]*\).*/\1/p" "$work/$1.out"; }
 
 join() { local IFS=,; echo "$*"; }
 
-# settings NAME DATA_CENTRE PLATFORM OPERATOR_KEY: a settings file; prints its path.
+# settings NAME DATA_CENTRE PLATFORM OPERATOR_KEY: writes a settings file and prints its path.
 settings() {
   cat >"$work/$1.ini" <<INI
 [instance]
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# What relaying costs an instance: processor time per token and memory per open generation,
-# read from the process while it relays and nothing else. Prints one line.
+# Measures what relaying costs an instance: processor time per token and memory per open generation,
+# read from /proc while the instance does nothing but relay. Prints one line with the figures, then
+# the last line of the demo.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 generations=${GENERATIONS:-240}
--- a/scripts/notice.sh
+++ b/scripts/notice.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Counts how many seeds of the soak notice that a mechanism is switched off: a row for each mechanism, with the seeds that had a finding.
+# Counts the seeds with which the soak detects that a mechanism is switched off. Prints a row for all
+# mechanisms on and one for each mechanism, with the seeds that had a finding.
 #
 #   SEEDS="1 2 3 4" SECONDS_EACH=8 JOBS=3 scripts/notice.sh [MECHANISM...]
 set -euo pipefail
@@ -9,7 +10,7 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-play() { # MECHANISM SEED
+play() { # MECHANISM SEED: runs a soak and prints a line with its number of findings
   local off=()
   [ "$1" = all-on ] || off=(--without "$1")
   if ./bin/agateway soak --seed "$2" --seconds "${SECONDS_EACH:-8}" "${off[@]}" >"$work/$1-$2" 2>&1; then
