--- a/gateway/crashes/attributor.go
+++ b/gateway/crashes/attributor.go
@@ -45,9 +45,9 @@
 	SentAt, HeadAt, FirstEventAt time.Time
 	// Reused reports whether the connection had served another request before.
 	Reused bool
-	// Served reports whether the caller had been served for a while before the request was sent to
-	// this endpoint.
-	Served bool
+	// ServedBefore reports whether the caller had been served for a while before the request was
+	// sent to this endpoint.
+	ServedBefore bool
 	// Async makes Attribute return before it has found out anything. It is set if the caller
 	// already has events and must not wait.
 	Async bool
@@ -57,7 +57,7 @@
 // returns 0 if the crash says nothing about the request.
 func (l *Loss) phase(at time.Time) crashers.Phase {
 	switch {
-	case l.Served, !l.FirstEventAt.IsZero() && at.Sub(l.FirstEventAt) >= ProgressAfter:
+	case l.ServedBefore, !l.FirstEventAt.IsZero() && at.Sub(l.FirstEventAt) >= ProgressAfter:
 		return crashers.Late
 	case !l.HeadAt.IsZero() && l.FirstEventAt.IsZero() && at.Sub(l.HeadAt) <= begunWindow:
 		return crashers.Begun
@@ -126,7 +126,7 @@
 // the first event can still be reached, and counts it as crashed if not. Silence at any other
 // moment is ignored, since it has too many causes.
 func (a *Attributor) AttributeSilence(l Loss) {
-	if a.Record == nil || l.Served || l.HeadAt.IsZero() || !l.FirstEventAt.IsZero() {
+	if a.Record == nil || l.ServedBefore || l.HeadAt.IsZero() || !l.FirstEventAt.IsZero() {
 		return
 	}
 	a.attributeUnreachable(&l, crashers.Crash{Endpoint: l.Endpoint, Service: l.Service, Phase: crashers.Begun, Sent: l.SentAt, At: time.Now()})
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -112,7 +112,7 @@
 	}
 	a.sentAt = time.Now()
 	a.potentialLoss = s.req.loss(e)
-	a.potentialLoss.Served, a.potentialLoss.Async = s.reportedProgress, s.relayedEvents > 0
+	a.potentialLoss.ServedBefore, a.potentialLoss.Async = s.reportedProgress, s.relayedEvents > 0
 	a.send = platform.EndpointRequest{
 		EndpointName: e.RequestName(), TimeLeft: s.req.timeLeft(time.Now()), Team: s.req.teamName(), Priority: s.req.priority,
 		LastEventID: s.lastEventID, CopyFrom: resumeFrom.Address, CopyHandle: resumeFrom.Handle, CopyTo: s.placeCopy(e),
--- a/gateway/rollouts/trial.go
+++ b/gateway/rollouts/trial.go
@@ -78,7 +78,7 @@
 
 // Answered counts a good answer; a stream counts at its first event. took is the time to the
 // answer. For a stream it is the time to the first event, per thousand prompt tokens that the
-// engine had to read. A took of 0 is not counted.
+// engine had to prefill. A took of 0 is not counted.
 func (t *Trial) Answered(took time.Duration) {
 	t.update(func(c *rollout.Counts) {
 		c.Answered++
