--- a/gateway/crashes/attributor.go
+++ b/gateway/crashes/attributor.go
@@ -45,9 +45,9 @@
 	SentAt, HeadAt, FirstEventAt time.Time
 	// Reused reports whether the connection had served another request before.
 	Reused bool
-	// Served reports whether the caller had been served for a while before the request was sent to
-	// this endpoint.
-	Served bool
+	// ServedBefore reports whether the caller had been served for a while before the request was
+	// sent to this endpoint.
+	ServedBefore bool
 	// Async makes Attribute return before it has found out anything. It is set if the caller
 	// already has events and must not wait.
 	Async bool
@@ -57,7 +57,7 @@
 // returns 0 if the crash says nothing about the request.
 func (l *Loss) phase(at time.Time) crashers.Phase {
 	switch {
-	case l.Served, !l.FirstEventAt.IsZero() && at.Sub(l.FirstEventAt) >= ProgressAfter:
+	case l.ServedBefore, !l.FirstEventAt.IsZero() && at.Sub(l.FirstEventAt) >= ProgressAfter:
 		return crashers.Late
 	case !l.HeadAt.IsZero() && l.FirstEventAt.IsZero() && at.Sub(l.HeadAt) <= begunWindow:
 		return crashers.Begun
@@ -77,9 +77,9 @@
 	// Unreachable reports whether an endpoint that was not told to leave refuses or ignores
 	// connections; nil if silence is not to be attributed.
 	Unreachable func(endpoint string) bool
-	// Nearby returns the number of endpoints in the data centre of an endpoint, and how many of
-	// them failed last between from and to.
-	Nearby func(endpoint string, from, to time.Time) (failed, all int)
+	// DataCentreFailures returns the number of endpoints in the data centre of an endpoint, and how
+	// many of them failed last between from and to.
+	DataCentreFailures func(endpoint string, from, to time.Time) (failed, all int)
 
 	pending atomic.Int64 // crashes that are being attributed in the background
 }
@@ -126,7 +126,7 @@
 // the first event can still be reached, and counts it as crashed if not. Silence at any other
 // moment is ignored, since it has too many causes.
 func (a *Attributor) AttributeSilence(l Loss) {
-	if a.Record == nil || l.Served || l.HeadAt.IsZero() || !l.FirstEventAt.IsZero() {
+	if a.Record == nil || l.ServedBefore || l.HeadAt.IsZero() || !l.FirstEventAt.IsZero() {
 		return
 	}
 	a.attributeUnreachable(&l, crashers.Crash{Endpoint: l.Endpoint, Service: l.Service, Phase: crashers.Begun, Sent: l.SentAt, At: time.Now()})
@@ -168,6 +168,6 @@
 // centre. It also returns the inputs of that decision. It waits for failureReportWait.
 func (a *Attributor) isolated(l *Loss, crash crashers.Crash) (inputs logrus.Fields, ok bool) {
 	pause.For(context.Background(), failureReportWait)
-	failed, all := a.Nearby(crash.Endpoint, crash.At.Add(-coincidenceLookback), crash.At.Add(failureReportWait))
+	failed, all := a.DataCentreFailures(crash.Endpoint, crash.At.Add(-coincidenceLookback), crash.At.Add(failureReportWait))
 	return logrus.Fields{"request": l.ID, "failed_nearby": failed, "endpoints_nearby": all}, 2*failed < all || failed <= 1
 }
--- a/gateway/forward/attempt.go
+++ b/gateway/forward/attempt.go
@@ -108,11 +108,11 @@
 		a.placed.PendingPrefill = s.req.PromptTokens
 	}
 	if a.placed.PendingPrefill > 0 && !mayBeCached {
-		a.prefillTokens = a.placed.PendingPrefill + s.f.Placement.UnreadTokens(e.ID)
+		a.prefillTokens = a.placed.PendingPrefill + s.f.Placement.PendingPrefillTokens(e.ID)
 	}
 	a.sentAt = time.Now()
 	a.potentialLoss = s.req.loss(e)
-	a.potentialLoss.Served, a.potentialLoss.Async = s.reportedProgress, s.relayedEvents > 0
+	a.potentialLoss.ServedBefore, a.potentialLoss.Async = s.reportedProgress, s.relayedEvents > 0
 	a.send = platform.EndpointRequest{
 		EndpointName: e.RequestName(), TimeLeft: s.req.timeLeft(time.Now()), Team: s.req.teamName(), Priority: s.req.priority,
 		LastEventID: s.lastEventID, CopyFrom: resumeFrom.Address, CopyHandle: resumeFrom.Handle, CopyTo: s.placeCopy(e),
@@ -222,11 +222,11 @@
 		return message{kind: attemptFailed, failure: generation.Refused, err: err}
 	}
 	if a.gaveUpOnSilence.Load() {
-		a.session.f.judge.AttributeSilence(a.potentialLoss)
+		a.session.f.attributor.AttributeSilence(a.potentialLoss)
 	}
 	if ctx.Err() == nil {
 		a.recordLoss()
-		a.session.f.judge.Attribute(ctx, &a.session.req.losses, a.potentialLoss)
+		a.session.f.attributor.Attribute(ctx, &a.session.req.losses, a.potentialLoss)
 	}
 	return message{kind: attemptFailed, failure: generation.Broken, err: err}
 }
