--- a/gateway/exchange/announce.go
+++ b/gateway/exchange/announce.go
@@ -14,71 +14,74 @@
 	"github.com/agateway/agateway/gateway/pause"
 )
 
-// Pace of announcements. A stream is placed every tenth of a second or so on a small deployment, so what is told within
-// changeGap of a change reaches the others before most of their own choices.
+// Intervals of announcements. On a small deployment a stream is placed about every 100 ms. What is
+// announced within minAnnouncementGap of a change reaches the others before most of their own choices.
 const (
-	// every is the time between two announcements in calm times, of a fleet of up to smallFleet instances. Larger ones in
-	// which all are told all announce less often, up to everyMost: what all receive grows with the square of their
+	// minAnnouncementInterval is the time between two announcements without changes, in a fleet of
+	// up to smallFleetSize instances. Larger full meshes announce less often, at least every
+	// maxAnnouncementInterval: what all instances receive together grows with the square of their
 	// number.
-	every      = 400 * time.Millisecond
-	everyMost  = time.Second
-	smallFleet = 12
-	// changeGap is the least time between two announcements.
-	changeGap = 60 * time.Millisecond
-	// sumEvery is the time between two announcements to those that sum up, and between two digests. What is summed up is
-	// told on twice, so it is three times as old at the most, 1.5 s.
-	sumEvery = 500 * time.Millisecond
-	// ownersEvery is the time between two announcements to the owners of endpoints, besides those at a change: it makes
-	// good datagrams that were lost.
-	ownersEvery = 2 * time.Second
-	// forgottenAfter is how long an announcement counts that is not followed by another one. One that told of the end of
-	// a request may have been lost.
-	forgottenAfter = 5 * time.Second
+	minAnnouncementInterval = 400 * time.Millisecond
+	maxAnnouncementInterval = time.Second
+	smallFleetSize          = 12
+	// minAnnouncementGap is the least time between two announcements.
+	minAnnouncementGap = 60 * time.Millisecond
+	// digestInterval is the time between two announcements to the aggregators, and between two
+	// digests. What is aggregated is passed on twice, so it is at most three times as old, 1.5 s.
+	digestInterval = 500 * time.Millisecond
+	// ownersInterval is the time between two announcements to the owners of endpoints, besides
+	// those at a change. They make up for datagrams that were lost.
+	ownersInterval = 2 * time.Second
+	// announcementTTL is how long an announcement counts without a later one. It bounds the effect
+	// of a lost announcement, such as one that reported the end of a request.
+	announcementTTL = 5 * time.Second
 )
 
-// pace returns the time between two announcements in a fleet in which all are told all.
-func pace(instances int) time.Duration {
-	if instances <= smallFleet {
-		return every
+// announcementInterval returns the time between two announcements in a full mesh.
+func announcementInterval(instances int) time.Duration {
+	if instances <= smallFleetSize {
+		return minAnnouncementInterval
 	}
-	return min(time.Duration(float64(every)*math.Sqrt(float64(instances)/smallFleet)), everyMost)
+	return min(time.Duration(float64(minAnnouncementInterval)*math.Sqrt(float64(instances)/smallFleetSize)), maxAnnouncementInterval)
 }
 
-// heard is the last announcement of another instance.
-type heard struct {
+// receivedAnnouncement is the last announcement of another instance.
+type receivedAnnouncement struct {
 	process, sequence uint64
-	at                time.Duration
-	told              routing.PeerReport
-	uses              map[string]limits.Counted
+	receivedAt        time.Duration
+	report            routing.PeerReport
+	counts            map[string]limits.Counted
 }
 
-// step announces what is due, and returns when the next announcement is, if nothing changes before.
-func (x *Exchange) step() time.Duration {
-	x.expire()
+// announceDue sends the announcements and the digest that are due. It returns the time until the
+// next ones, if nothing changes before.
+func (x *Exchange) announceDue() time.Duration {
+	x.expireAnnouncements()
 	r := x.roster()
-	if r.direct() {
-		x.announce(r.everybody(false))
-		return pace(len(r.alive) + 1)
+	if r.fullMesh() {
+		x.announce(r.allAddresses(false))
+		return announcementInterval(len(r.alive) + 1)
 	}
-	x.steps++
-	told := x.Endpoints.Told()
+	x.announceRounds++
+	report := x.Endpoints.OwnReport()
 	var owners []string
-	if x.steps%int(ownersEvery/sumEvery) == 0 {
-		owners = x.ownersOf(r, maps.Keys(told.Endpoints()))
+	if x.announceRounds%int(ownersInterval/digestInterval) == 0 {
+		owners = x.otherOwners(r, maps.Keys(report.Endpoints()))
 	}
-	x.announceTo(r, &told, owners, true)
-	if r.sumsUp() {
-		x.digest(r)
+	x.announceTo(r, &report, owners, true)
+	if r.isAggregator() {
+		x.sendDigest(r)
 	}
-	return sumEvery
+	return digestInterval
 }
 
-// await returns when the next announcement is due, and announces changes before to those whom they concern.
-func (x *Exchange) await(ctx context.Context, next time.Duration) {
+// awaitNextAnnouncement returns when the next announcement is due. Until then it announces changes
+// to the instances that they concern.
+func (x *Exchange) awaitNextAnnouncement(ctx context.Context, next time.Duration) {
 	timer := time.NewTimer(next)
 	defer timer.Stop()
 	for {
-		if !pause.For(ctx, changeGap) {
+		if !pause.For(ctx, minAnnouncementGap) {
 			return
 		}
 		select {
@@ -86,35 +89,36 @@
 			return
 		case <-timer.C:
 			return
-		case <-x.wake:
-			x.say()
+		case <-x.changeSignal:
+			x.broadcastIfChanged()
 			x.announceChanges()
 		}
 	}
 }
 
-// announceChanges tells the owners of endpoints at which something changed, or all in a small fleet. Those that sum up are
-// told when this instance has sent something once more, and tell the sums on.
+// announceChanges tells the owners of endpoints at which something changed, or all others in a full
+// mesh. The aggregators are told as well when this instance has sent requests again since the last
+// call. An aggregator passes the sums on when they have grown much.
 func (x *Exchange) announceChanges() {
 	x.sendMu.Lock()
-	changed := x.changed
-	x.changed = map[string]bool{}
+	changed := x.changedEndpoints
+	x.changedEndpoints = map[string]bool{}
 	x.sendMu.Unlock()
 	r := x.roster()
-	if r.direct() {
-		x.announce(r.everybody(false))
+	if r.fullMesh() {
+		x.announce(r.allAddresses(false))
 		return
 	}
-	told := x.Endpoints.Told()
-	repeats := limits.Repeats(x.Uses())
-	x.announceTo(r, &told, x.ownersOf(r, maps.Keys(changed)), repeats > x.toldRepeats.Swap(repeats))
-	if r.sumsUp() {
-		x.digestRepeats(r)
+	report := x.Endpoints.OwnReport()
+	retries := limits.Repeats(x.ServiceCounts())
+	x.announceTo(r, &report, x.otherOwners(r, maps.Keys(changed)), retries > x.announcedRetries.Swap(retries))
+	if r.isAggregator() {
+		x.sendRetriesDigest(r)
 	}
 }
 
-// ownersOf returns the other instances that own any of some endpoints.
-func (x *Exchange) ownersOf(r *roster, endpoints func(yield func(string) bool)) []string {
+// otherOwners returns the other instances that own any of some endpoints.
+func (x *Exchange) otherOwners(r *roster, endpoints func(yield func(string) bool)) []string {
 	ids := map[string]bool{}
 	for endpoint := range endpoints {
 		for _, id := range r.owners(endpoint) {
@@ -125,49 +129,51 @@
 	return slices.Collect(maps.Keys(ids))
 }
 
-// announceTo tells owners what this instance has placed at their endpoints and found out about them, and with summers set those
-// that sum up for its data centre what it found out about all. Each is told only what concerns it: an instance of a busy fleet has placed
-// more than fits into a datagram.
-func (x *Exchange) announceTo(r *roster, told *routing.PeerReport, owners []string, summers bool) {
-	sums := r.summers[x.Self.DataCentre]
+// announceTo tells owners what this instance has placed at their endpoints and found out about
+// them. With toAggregators set, it also tells the aggregators of its data centre what it found out
+// about all endpoints. Each instance is sent only what concerns it: an instance of a busy fleet has
+// placed more than fits into a datagram.
+func (x *Exchange) announceTo(r *roster, report *routing.PeerReport, owners []string, toAggregators bool) {
+	aggregators := r.aggregators[x.Self.DataCentre]
 	to := owners
-	if summers {
-		to = slices.Concat(owners, sums)
+	if toAggregators {
+		to = slices.Concat(owners, aggregators)
 		slices.Sort(to)
 		to = slices.Compact(to)
 	}
-	ownersOf := map[string][]string{} // ranks the whole fleet for each endpoint
-	for endpoint := range told.Endpoints() {
-		ownersOf[endpoint] = r.ownersOf(endpoint)
+	ownersByEndpoint := map[string][]string{} // computed once, since owners ranks the whole fleet
+	for endpoint := range report.Endpoints() {
+		ownersByEndpoint[endpoint] = r.ownerIDs(endpoint)
 	}
-	uses := x.Uses()
+	counts := x.ServiceCounts()
 	for _, id := range to {
 		if id != x.Self.ID {
-			x.announceThis(partFor(id, told, ownersOf, slices.Contains(sums, id)), uses, r.to(id))
+			x.sendAnnouncement(reportFor(id, report, ownersByEndpoint, slices.Contains(aggregators, id)), counts, r.addressesOf(id))
 		}
 	}
 }
 
-// partFor returns what concerns an instance.
-func partFor(id string, told *routing.PeerReport, ownersOf map[string][]string, sumsUp bool) routing.PeerReport {
-	owned := told.Filter(func(endpoint string) bool { return slices.Contains(ownersOf[endpoint], id) })
-	if !sumsUp {
+// reportFor returns the part of a report that concerns an instance: the endpoints that it owns, and
+// for an aggregator also what was found out about the others.
+func reportFor(id string, report *routing.PeerReport, ownersByEndpoint map[string][]string, aggregator bool) routing.PeerReport {
+	owned := report.Filter(func(endpoint string) bool { return slices.Contains(ownersByEndpoint[endpoint], id) })
+	if !aggregator {
 		return owned
 	}
-	all := *told
+	all := *report
 	all.Placed, all.Prefilled = owned.Placed, owned.Prefilled
 	return all
 }
 
-// announce tells others all that this instance has placed and found out.
+// announce sends the whole report of this instance to some addresses.
 func (x *Exchange) announce(to []net.Addr) {
 	if len(to) > 0 {
-		x.announceThis(x.Endpoints.Told(), x.Uses(), to)
+		x.sendAnnouncement(x.Endpoints.OwnReport(), x.ServiceCounts(), to)
 	}
 }
 
-func (x *Exchange) announceThis(told routing.PeerReport, uses map[string]limits.Counted, to []net.Addr) {
-	a := encode(told, uses)
+func (x *Exchange) sendAnnouncement(report routing.PeerReport, counts map[string]limits.Counted, to []net.Addr) {
+	a := encodeAnnouncement(report, counts)
 	a.Instance, a.Process = x.Self.ID, x.process
 	x.sendMu.Lock()
 	x.sequence++
@@ -176,55 +182,57 @@
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Announcement{Announcement: a}}, to...)
 }
 
-// announced takes an announcement of another instance.
-func (x *Exchange) announced(a *peerv1.Announcement) {
+// receiveAnnouncement takes an announcement of another instance.
+func (x *Exchange) receiveAnnouncement(a *peerv1.Announcement) {
 	if a.Instance == "" {
 		x.metrics.malformed.Inc(1)
 		return
 	}
-	told, uses := decode(a)
-	h := &heard{process: a.Process, sequence: a.Sequence, at: x.Clock(), told: told, uses: uses}
-	if a.Instance == x.Self.ID || !x.keep(a.Instance, h) {
+	report, counts := decodeAnnouncement(a)
+	h := &receivedAnnouncement{process: a.Process, sequence: a.Sequence, receivedAt: x.Clock(), report: report, counts: counts}
+	if a.Instance == x.Self.ID || !x.recordAnnouncement(a.Instance, h) {
 		return
 	}
 	r := x.roster()
-	if r.direct() {
-		x.Endpoints.Heard(a.Instance, told, uses)
+	if r.fullMesh() {
+		x.Endpoints.SetPeerReport(a.Instance, report, counts)
 		return
 	}
-	// What endpoints of others have to do with this one comes with the digests.
-	x.Endpoints.Heard(a.Instance, told.Filter(r.owned), nil)
-	if r.sumsUp() && x.repeatsToTell() {
-		x.wakeUp()
+	// The counts, and what was found out about endpoints of other owners, come with the digests.
+	x.Endpoints.SetPeerReport(a.Instance, report.Filter(r.owns), nil)
+	if r.isAggregator() && x.hasUrgentRetries() {
+		x.signalChange()
 	}
 }
 
-// keep remembers an announcement; false when it was overtaken by a later one.
-func (x *Exchange) keep(instance string, h *heard) bool {
-	x.heardMu.Lock()
-	defer x.heardMu.Unlock()
-	old := x.heard[instance]
+// recordAnnouncement keeps an announcement. It returns false for one that arrives after a later one
+// of the same process.
+func (x *Exchange) recordAnnouncement(instance string, h *receivedAnnouncement) bool {
+	x.announcementsMu.Lock()
+	defer x.announcementsMu.Unlock()
+	old := x.announcements[instance]
 	if old != nil && old.process == h.process && h.sequence <= old.sequence {
 		return false
 	}
-	x.sums.count(instance, old, h)
-	x.heard[instance] = h
+	x.aggregate.addAnnounced(instance, old, h)
+	x.announcements[instance] = h
 	return true
 }
 
-// expire forgets what instances told that have told nothing since.
-func (x *Exchange) expire() {
+// expireAnnouncements drops what instances announced that have announced nothing since, and the
+// expired digests.
+func (x *Exchange) expireAnnouncements() {
 	now := x.Clock()
-	x.heardMu.Lock()
-	var late []string
-	for id, h := range x.heard {
-		if now-h.at >= forgottenAfter {
-			late = append(late, id)
+	x.announcementsMu.Lock()
+	var expired []string
+	for id, h := range x.announcements {
+		if now-h.receivedAt >= announcementTTL {
+			expired = append(expired, id)
 		}
 	}
-	x.heardMu.Unlock()
-	for _, id := range late {
-		x.forget(id)
+	x.announcementsMu.Unlock()
+	for _, id := range expired {
+		x.dropAnnouncement(id)
 	}
 	x.expireDigests(now)
 }
--- a/gateway/exchange/ask.go
+++ b/gateway/exchange/ask.go
@@ -10,72 +10,75 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// Times of a question to the owners of engines. A round trip takes 3 ms, and a prompt a second to be read: a choice of an
-// engine that is reading another prompt costs a thousand times what it takes to know.
+// Timeouts of a question to the owners of engines. A round trip takes 3 ms and the prefill of a
+// prompt one second: choosing an engine that is busy with another prefill costs a thousand times as
+// much as asking.
 const (
-	// askSecond is when the second owners are asked about engines of which the first have said nothing.
-	askSecond = 10 * time.Millisecond
-	// askTimeout is when a choice is made without them.
+	// firstOwnerTimeout is when the second owners are asked about the engines for which the first
+	// ones have not answered.
+	firstOwnerTimeout = 10 * time.Millisecond
+	// askTimeout is when a choice is made without an answer. It includes firstOwnerTimeout.
 	askTimeout = 25 * time.Millisecond
 )
 
-// askWaits are how long each of an endpoint's owners is waited for, the first one first.
-var askWaits = [owners]time.Duration{askSecond, askTimeout - askSecond}
+// ownerTimeouts are how long each owner of an endpoint is waited for, by rank.
+var ownerTimeouts = [ownersPerEndpoint]time.Duration{firstOwnerTimeout, askTimeout - firstOwnerTimeout}
 
-// inquiry is a question that is out.
-type inquiry struct {
-	prompt uint64
-	open   map[string]bool // endpoints of which nothing was heard yet; nil once all are known
-	done   chan struct{}
+// ownerQuery is a question to owners that is in progress.
+type ownerQuery struct {
+	prompt     uint64
+	unanswered map[string]bool // endpoints without an answer; nil once all are answered
+	done       chan struct{}
 }
 
-// Ask brings what this instance knows of some endpoints up to date, for a prompt that is to be placed at one of them. It
-// returns when their owners have answered, or after askTimeout.
+// Ask updates what this instance knows of some endpoints, before a prompt with the given hash is
+// placed at one of them. It returns when the owners have answered, when ctx ends, or after
+// askTimeout. In a full mesh it returns at once, since this instance receives all placements.
 func (x *Exchange) Ask(ctx context.Context, prompt uint64, endpoints []string) {
 	r := x.roster()
-	if r.direct() {
+	if r.fullMesh() {
 		return
 	}
-	q := &inquiry{prompt: prompt, open: map[string]bool{}, done: make(chan struct{})}
+	q := &ownerQuery{prompt: prompt, unanswered: map[string]bool{}, done: make(chan struct{})}
 	for _, id := range endpoints {
-		if !r.owned(id) {
-			q.open[id] = true
+		if !r.owns(id) {
+			q.unanswered[id] = true
 		}
 	}
-	if len(q.open) == 0 {
+	if len(q.unanswered) == 0 {
 		return
 	}
 	began := time.Now()
-	number := x.begin(q)
-	defer x.end(number)
-	for rank, wait := range askWaits {
-		x.question(r, number, q, rank)
-		if q.await(ctx, wait) {
+	number := x.registerQuery(q)
+	defer x.removeQuery(number)
+	for rank, wait := range ownerTimeouts {
+		x.sendQuestions(r, number, q, rank)
+		if q.awaitAnswers(ctx, wait) {
 			break
 		}
 	}
-	x.metrics.question.RecordDuration(time.Since(began))
+	x.metrics.askDuration.RecordDuration(time.Since(began))
 }
 
-// begin remembers a question, and returns its number.
-func (x *Exchange) begin(q *inquiry) uint64 {
-	x.askMu.Lock()
-	defer x.askMu.Unlock()
-	x.number++
-	x.asked[x.number] = q
-	return x.number
+// registerQuery adds a question to those in progress, and returns its number.
+func (x *Exchange) registerQuery(q *ownerQuery) uint64 {
+	x.requestMu.Lock()
+	defer x.requestMu.Unlock()
+	x.lastRequest++
+	x.pendingQueries[x.lastRequest] = q
+	return x.lastRequest
 }
 
-// end forgets a question.
-func (x *Exchange) end(number uint64) {
-	x.askMu.Lock()
-	defer x.askMu.Unlock()
-	x.metrics.unanswered.Inc(int64(len(x.asked[number].open)))
-	delete(x.asked, number)
+// removeQuery removes a question, and counts the endpoints without an answer.
+func (x *Exchange) removeQuery(number uint64) {
+	x.requestMu.Lock()
+	defer x.requestMu.Unlock()
+	x.metrics.enginesUnanswered.Inc(int64(len(x.pendingQueries[number].unanswered)))
+	delete(x.pendingQueries, number)
 }
 
-// await waits for all answers; false when they did not come in time.
-func (q *inquiry) await(ctx context.Context, d time.Duration) bool {
+// awaitAnswers waits until all endpoints are answered or ctx ends. It returns false after d.
+func (q *ownerQuery) awaitAnswers(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -88,29 +91,30 @@
 	}
 }
 
-// question asks the owners of a rank about the endpoints of which nothing was heard yet.
-func (x *Exchange) question(r *roster, number uint64, q *inquiry, rank int) {
-	by := map[string][]string{}
-	x.askMu.Lock()
-	for id := range q.open {
+// sendQuestions asks the owners of a rank about the endpoints without an answer.
+func (x *Exchange) sendQuestions(r *roster, number uint64, q *ownerQuery, rank int) {
+	byOwner := map[string][]string{}
+	x.requestMu.Lock()
+	for id := range q.unanswered {
 		owner := r.owners(id)[rank]
-		by[owner] = append(by[owner], id)
+		byOwner[owner] = append(byOwner[owner], id)
 	}
-	x.askMu.Unlock()
-	for owner, ids := range by {
+	x.requestMu.Unlock()
+	for owner, ids := range byOwner {
 		x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Question{Question: &peerv1.Question{
 			Instance: x.Self.ID, Number: number, Endpoints: ids, Prompt: q.prompt,
-		}}}, r.to(owner)...)
+		}}}, r.addressesOf(owner)...)
 	}
 }
 
-// askedMost bounds the endpoints of one question that are answered: a choice compares ten.
-const askedMost = 32
+// maxAnsweredEndpoints bounds the endpoints of one question that are answered; a choice compares
+// ten.
+const maxAnsweredEndpoints = 32
 
-// answer answers a question of another instance.
-func (x *Exchange) answer(q *peerv1.Question, from net.Addr) {
+// answerQuestion sends the summaries that another instance asks for.
+func (x *Exchange) answerQuestion(q *peerv1.Question, from net.Addr) {
 	out := &peerv1.Summaries{Number: q.Number}
-	for _, id := range q.Endpoints[:min(len(q.Endpoints), askedMost)] {
+	for _, id := range q.Endpoints[:min(len(q.Endpoints), maxAnsweredEndpoints)] {
 		if s, ok := x.Endpoints.Summary(id, q.Instance, q.Prompt); ok {
 			out.Summaries = append(out.Summaries, encodeSummary(&s))
 		}
@@ -118,39 +122,39 @@
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Summaries{Summaries: out}}, from)
 }
 
-// answered takes what an owner says.
-func (x *Exchange) answered(a *peerv1.Summaries) {
-	x.askMu.Lock()
-	defer x.askMu.Unlock()
-	q := x.asked[a.Number]
-	if q == nil || q.open == nil {
-		return // it comes too late
+// receiveSummaries takes an owner's answer to a question.
+func (x *Exchange) receiveSummaries(a *peerv1.Summaries) {
+	x.requestMu.Lock()
+	defer x.requestMu.Unlock()
+	q := x.pendingQueries[a.Number]
+	if q == nil || q.unanswered == nil {
+		return // the answer came too late
 	}
 	for _, s := range a.Summaries {
 		summary := decodeSummary(s)
-		if q.open[summary.Endpoint] {
-			delete(q.open, summary.Endpoint)
-			x.Endpoints.Learn(&summary, q.prompt)
+		if q.unanswered[summary.Endpoint] {
+			delete(q.unanswered, summary.Endpoint)
+			x.Endpoints.ApplySummary(&summary, q.prompt)
 		}
 	}
-	if len(q.open) == 0 {
+	if len(q.unanswered) == 0 {
 		close(q.done)
-		q.open = nil
+		q.unanswered = nil
 	}
 }
 
 func encodeSummary(s *routing.Summary) *peerv1.Summary {
 	return &peerv1.Summary{
 		Placed:   encodePlaced(s.Endpoint, &s.Placed),
-		Suspects: uint32(max(s.SuspectedBy, 0)), Outcomes: &peerv1.OutcomesAt{Good: tenths(s.Outcomes.Good), Bad: tenths(s.Outcomes.Bad)},
-		Pace: tenths(s.Pace), Ended: s.Ended, Read: s.Prefilled,
+		Suspects: uint32(max(s.SuspectedBy, 0)), Outcomes: &peerv1.OutcomesAt{Good: toTenths(s.Outcomes.Good), Bad: toTenths(s.Outcomes.Bad)},
+		Pace: toTenths(s.Pace), Ended: s.Ended, Read: s.Prefilled,
 	}
 }
 
 func decodeSummary(s *peerv1.Summary) routing.Summary {
 	return routing.Summary{
 		Endpoint: s.GetPlaced().GetEndpoint(), Placed: decodePlaced(s.GetPlaced()), SuspectedBy: int(s.Suspects),
-		Outcomes: health.Counts{Good: ofTenths(s.GetOutcomes().GetGood()), Bad: ofTenths(s.GetOutcomes().GetBad())},
-		Pace:     ofTenths(s.Pace), Ended: s.Ended, Prefilled: s.Read,
+		Outcomes: health.Counts{Good: fromTenths(s.GetOutcomes().GetGood()), Bad: fromTenths(s.GetOutcomes().GetBad())},
+		Pace:     fromTenths(s.Pace), Ended: s.Ended, Prefilled: s.Read,
 	}
 }
--- a/gateway/exchange/claim.go
+++ b/gateway/exchange/claim.go
@@ -9,8 +9,9 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// Claim asks the owners of an engine for room, and returns whether it was granted. Where none of them answers, or knows the engine,
-// the request goes there on what this instance knows.
+// Claim asks the owners of an engine in turn for room, and returns whether it was granted. It
+// returns true where no owner answers, or where the one that does has not listed the engine: the
+// request then goes there on what this instance knows.
 func (x *Exchange) Claim(ctx context.Context, endpoint string, c routing.Claim) bool {
 	r := x.roster()
 	began := time.Now()
@@ -22,32 +23,32 @@
 			granted, known := x.Endpoints.Claim(endpoint, "", c)
 			return granted || !known
 		}
-		if granted, answered := x.askClaim(ctx, r, owner, endpoint, c, askWaits[rank]); answered {
-			x.metrics.claim.RecordDuration(time.Since(began))
+		if granted, answered := x.requestClaim(ctx, r, owner, endpoint, c, ownerTimeouts[rank]); answered {
+			x.metrics.claimDuration.RecordDuration(time.Since(began))
 			return granted
 		}
 	}
-	x.metrics.unclaimed.Inc(1)
+	x.metrics.claimsUnanswered.Inc(1)
 	return true
 }
 
-// askClaim asks one owner.
-func (x *Exchange) askClaim(ctx context.Context, r *roster, owner, endpoint string, c routing.Claim, wait time.Duration) (granted, answered bool) {
+// requestClaim asks one owner for room, and waits for its answer.
+func (x *Exchange) requestClaim(ctx context.Context, r *roster, owner, endpoint string, c routing.Claim, wait time.Duration) (granted, answered bool) {
 	reply := make(chan bool, 1)
-	x.askMu.Lock()
-	x.number++
-	number := x.number
-	x.claims[number] = reply
-	x.askMu.Unlock()
+	x.requestMu.Lock()
+	x.lastRequest++
+	number := x.lastRequest
+	x.pendingClaims[number] = reply
+	x.requestMu.Unlock()
 	defer func() {
-		x.askMu.Lock()
-		delete(x.claims, number)
-		x.askMu.Unlock()
+		x.requestMu.Lock()
+		delete(x.pendingClaims, number)
+		x.requestMu.Unlock()
 	}()
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Claim{Claim: &peerv1.Claim{
 		Instance: x.Self.ID, Number: number, Endpoint: endpoint, Tokens: uint32(c.Tokens), Unread: uint32(c.PendingPrefill),
 		Within: uint32(c.PrefillWithin.Milliseconds()), Recovery: c.Recovery,
-	}}}, r.to(owner)...)
+	}}}, r.addressesOf(owner)...)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	select {
@@ -59,8 +60,8 @@
 	return false, false
 }
 
-// claimed answers a claim of another instance.
-func (x *Exchange) claimed(c *peerv1.Claim, from net.Addr) {
+// answerClaim answers a claim of another instance. A refusal carries a summary of the engine.
+func (x *Exchange) answerClaim(c *peerv1.Claim, from net.Addr) {
 	if c.Instance == "" || c.Instance == x.Self.ID {
 		x.metrics.malformed.Inc(1)
 		return
@@ -75,18 +76,18 @@
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Grant{Grant: out}}, from)
 }
 
-// granted takes the answer to a claim.
-func (x *Exchange) granted(g *peerv1.Grant) {
-	x.askMu.Lock()
-	reply := x.claims[g.Number]
-	delete(x.claims, g.Number)
-	x.askMu.Unlock()
+// receiveGrant takes an owner's answer to a claim.
+func (x *Exchange) receiveGrant(g *peerv1.Grant) {
+	x.requestMu.Lock()
+	reply := x.pendingClaims[g.Number]
+	delete(x.pendingClaims, g.Number)
+	x.requestMu.Unlock()
 	if reply == nil {
-		return // it comes too late
+		return // the answer came too late
 	}
 	if g.Summary != nil {
 		s := decodeSummary(g.Summary)
-		x.Endpoints.Learn(&s, 0)
+		x.Endpoints.ApplySummary(&s, 0)
 	}
 	reply <- g.Granted || g.Unknown
 }
--- a/gateway/exchange/crashes.go
+++ b/gateway/exchange/crashes.go
@@ -13,34 +13,39 @@
 	"github.com/agateway/agateway/gateway/crashes"
 )
 
-// Crashes is what this instance knows of requests that end endpoints.
+// Crashes holds what this instance knows of requests that end endpoints.
 type Crashes interface {
-	// Heard takes what another instance told. complete tells that it knows the stops that are kept in the store.
+	// Heard takes facts of another instance. complete says that the other one knows all stops that
+	// are kept in the store.
 	Heard(from string, facts []crashers.Fact, complete bool)
-	// Facts returns what is to be told to an instance that asks, and whether this one knows the stops that are kept.
+	// Facts returns the facts for an instance that asks, and whether this one knows all stops that
+	// are kept in the store.
 	Facts() (facts []crashers.Fact, complete bool)
-	// Forget drops what an instance was doing that is gone.
+	// Forget drops the trials of an instance that is gone.
 	Forget(instance string)
 }
 
 const (
-	// factBytes bounds the facts in a datagram to what two packets hold.
-	factBytes = 2800
-	// askedOf is how many instances are asked at once for what is stopped, since answers may be lost.
-	askedOf = 2
-	// askGap is the least time between two such questions: where hundreds start at once, each is heard on its own.
-	askGap = 200 * time.Millisecond
-	// maxToAsk bounds the instances that wait to be asked. Of hundreds that return at once, the answers of a few are enough.
-	maxToAsk = 6
+	// maxFactBytes bounds the facts in a datagram to what two packets hold.
+	maxFactBytes = 2800
+	// instancesPerQuestion is how many instances are asked for stopped requests at once, since
+	// answers may be lost.
+	instancesPerQuestion = 2
+	// minQuestionGap is the least time between two such questions: when hundreds of instances start
+	// at once, each of them is noticed separately.
+	minQuestionGap = 200 * time.Millisecond
+	// maxWaitingToBeAsked bounds the instances that wait to be asked. When hundreds return at once,
+	// the answers of a few are enough.
+	maxWaitingToBeAsked = 6
 )
 
-// crashQuestions is which instances are to be asked for what is stopped.
+// crashQuestions selects the instances to ask for stopped requests.
 type crashQuestions struct {
 	askedAt time.Duration // 0 before the first question
 	waiting []string
 }
 
-// add takes instances that were just heard.
+// add adds instances that have just been heard. Of too many it keeps a random selection.
 func (q *crashQuestions) add(ids []string) {
 	for _, id := range ids {
 		if !slices.Contains(q.waiting, id) {
@@ -48,30 +53,33 @@
 		}
 	}
 	rand.Shuffle(len(q.waiting), func(i, j int) { q.waiting[i], q.waiting[j] = q.waiting[j], q.waiting[i] })
-	q.waiting = q.waiting[:min(len(q.waiting), maxToAsk)]
+	q.waiting = q.waiting[:min(len(q.waiting), maxWaitingToBeAsked)]
 }
 
-// next returns whom to ask now. The others wait until askGap has passed.
+// next returns the instances to ask now. The others wait until minQuestionGap has passed.
 func (q *crashQuestions) next(now time.Duration) []string {
-	if len(q.waiting) == 0 || q.askedAt > 0 && now-q.askedAt < askGap {
+	if len(q.waiting) == 0 || q.askedAt > 0 && now-q.askedAt < minQuestionGap {
 		return nil
 	}
 	q.askedAt = now
-	n := min(len(q.waiting), askedOf)
+	n := min(len(q.waiting), instancesPerQuestion)
 	ids := q.waiting[:n]
 	q.waiting = slices.Clone(q.waiting[n:])
 	return ids
 }
 
-// TellCrashes tells all others of requests, at once: an instance that does not know lets another endpoint end.
+// TellCrashes tells all others facts about requests, at once: an instance that does not know them
+// lets the request end another endpoint. complete says that this instance knows all stops that are
+// kept in the store.
 func (x *Exchange) TellCrashes(facts []crashers.Fact, complete bool) {
-	x.tellFacts(facts, complete, x.roster().everybody(false)...)
+	x.sendFacts(facts, complete, x.roster().allAddresses(false)...)
 }
 
-func (x *Exchange) tellFacts(facts []crashers.Fact, complete bool, to ...net.Addr) {
+// sendFacts sends facts in as many datagrams as they need.
+func (x *Exchange) sendFacts(facts []crashers.Fact, complete bool, to ...net.Addr) {
 	all := crashes.EncodeFacts(time.Now(), facts)
 	for {
-		n := fitting(all)
+		n := countThatFits(all)
 		x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Crashes{Crashes: &peerv1.Crashes{
 			Instance: x.Self.ID, Complete: complete, Facts: all[:n],
 		}}}, to...)
@@ -81,19 +89,20 @@
 	}
 }
 
-// fitting returns how many facts go into one datagram.
-func fitting(facts []*peerv1.CrashFact) int {
+// countThatFits returns how many of the facts go into one datagram, at least one.
+func countThatFits(facts []*peerv1.CrashFact) int {
 	size := 0
 	for n, f := range facts {
-		if size += proto.Size(f); size > factBytes && n > 0 {
+		if size += proto.Size(f); size > maxFactBytes && n > 0 {
 			return n
 		}
 	}
 	return len(facts)
 }
 
-// askCrashes asks some of those that were just heard for what is stopped: they, or this instance, were away.
-func (x *Exchange) askCrashes(ids []string) {
+// askForCrashes asks some of the instances that have just been heard for stopped requests. They
+// were unreachable before, or this instance was.
+func (x *Exchange) askForCrashes(ids []string) {
 	x.sendMu.Lock()
 	x.crashQuestions.add(ids)
 	next := x.crashQuestions.next(x.Clock())
@@ -101,31 +110,31 @@
 	if len(next) == 0 {
 		return
 	}
-	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Crashes{Crashes: &peerv1.Crashes{Instance: x.Self.ID, Ask: true}}}, x.refresh().to(next...)...)
+	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Crashes{Crashes: &peerv1.Crashes{Instance: x.Self.ID, Ask: true}}}, x.refreshRoster().addressesOf(next...)...)
 }
 
-// askWaiting asks those that came too soon after others were asked.
-func (x *Exchange) askWaiting() { x.askCrashes(nil) }
+// askWaitingForCrashes asks instances that had to wait for minQuestionGap.
+func (x *Exchange) askWaitingForCrashes() { x.askForCrashes(nil) }
 
-// askSomeCrashes asks any others for what is stopped.
-func (x *Exchange) askSomeCrashes() {
+// askAnyForCrashes asks any others for stopped requests.
+func (x *Exchange) askAnyForCrashes() {
 	alive := x.roster().alive
 	ids := make([]string, len(alive))
 	for i := range alive {
 		ids[i] = alive[i].ID
 	}
-	x.askCrashes(ids)
+	x.askForCrashes(ids)
 }
 
-// crashed takes what another instance tells of requests, or asks for.
-func (x *Exchange) crashed(c *peerv1.Crashes, from net.Addr) {
+// receiveCrashes takes the facts of another instance, or answers its question for them.
+func (x *Exchange) receiveCrashes(c *peerv1.Crashes, from net.Addr) {
 	if c.Instance == "" || c.Instance == x.Self.ID {
 		x.metrics.malformed.Inc(1)
 		return
 	}
 	if c.Ask {
 		facts, complete := x.Crashes.Facts()
-		x.tellFacts(facts, complete, from)
+		x.sendFacts(facts, complete, from)
 		return
 	}
 	x.Crashes.Heard(c.Instance, crashes.DecodeFacts(time.Now(), c.Facts), c.Complete)
--- a/gateway/exchange/crashes_test.go
+++ b/gateway/exchange/crashes_test.go
@@ -10,7 +10,8 @@
 	"github.com/agateway/agateway/core/crashers"
 )
 
-// stoppedFact is a stopped request.
+// stoppedFact returns a fact about a request that was stopped after three endpoints had ended under
+// it.
 func stoppedFact(team string) crashers.Fact {
 	now := time.Now()
 	end := crashers.End{Endpoint: "i-1", Sign: crashers.Begun, Sent: now.Add(-2 * time.Second), At: now.Add(-time.Second)}
@@ -20,8 +21,9 @@
 	}
 }
 
-// TestManyFactsArrive: what is told of many requests, under which many endpoints ended, goes into several datagrams.
-func TestManyFactsArrive(t *testing.T) {
+// TestFactsAreSplitOverDatagrams: 100 facts with twelve ends each do not fit into one datagram.
+// Without splitting, some of them would not arrive.
+func TestFactsAreSplitOverDatagrams(t *testing.T) {
 	runFleet(t, 3, true, func(w *fleet) {
 		var facts []crashers.Fact
 		for i := range 100 {
@@ -44,45 +46,46 @@
 	})
 }
 
-// TestAllHearOfCrashes: what one instance tells of a request all know at once, and those that were cut off, or start, know soon
-// after they are heard: in less time than the three seconds that a fleet has to settle.
-func TestAllHearOfCrashes(t *testing.T) {
+// TestCrashFactsReachAllInstances: an instance that does not know a stopped request lets it end
+// another endpoint. So all reachable instances know of it at once. Those that were cut off, or that
+// start, know of it soon after they are heard, within the three seconds that a fleet has to settle.
+func TestCrashFactsReachAllInstances(t *testing.T) {
 	const settle = 3 * time.Second
 	for _, size := range []int{9, 90, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runFleet(t, size, true, func(w *fleet) {
 				fact := stoppedFact("desk")
 				knows := func(n *node) bool { return n.crashes.knows(fact.Request) }
-				hall := func(name string) bool {
+				inCutDataCentre := func(name string) bool {
 					var i int
 					_, err := fmt.Sscanf(name, "f%d", &i)
 					return err == nil && i%fleetDataCentres == 1
 				}
-				w.net.SetCut(func(a, b string) bool { return hall(a) != hall(b) })
+				w.net.SetCut(func(a, b string) bool { return inCutDataCentre(a) != inCutDataCentre(b) })
 				time.Sleep(8 * time.Second)
-				var away []int
+				var cutOff []int
 				for i := range size {
-					if hall(fmt.Sprint("f", i)) {
-						away = append(away, i)
+					if inCutDataCentre(fmt.Sprint("f", i)) {
+						cutOff = append(cutOff, i)
 					} else {
-						w.nodes[i].crashes.keep(fact)
+						w.nodes[i].crashes.setOwn(fact)
 					}
 				}
 				w.nodes[0].TellCrashes([]crashers.Fact{fact}, false)
-				took := w.until(settle, knows, append(away, 0)...)
+				took := w.timeUntil(settle, knows, append(cutOff, 0)...)
 				assert.Assert(w, took <= 50*time.Millisecond, "%v", took)
-				for _, i := range away {
+				for _, i := range cutOff {
 					assert.Assert(w, !knows(w.nodes[i]))
 				}
 				w.net.SetCut(func(string, string) bool { return false })
-				heard := w.until(time.Minute, func(n *node) bool { return n.knows(w.nodes[1].Self.ID) }, 1)
-				took = w.until(time.Minute, knows, 0)
+				heard := w.timeUntil(time.Minute, func(n *node) bool { return n.knows(w.nodes[1].Self.ID) }, 1)
+				took = w.timeUntil(time.Minute, knows, 0)
 				w.Logf("heard again after %v, known %v later", heard, took)
 				assert.Assert(w, took <= settle, "%v", took)
 				w.kill(2)
 				time.Sleep(time.Second)
 				n := w.start(2)
-				took = w.until(settle, func(n *node) bool { return knows(n) }, 0)
+				took = w.timeUntil(settle, func(n *node) bool { return knows(n) }, 0)
 				w.Logf("known to one that starts after %v", took)
 				assert.Assert(w, took < settle && knows(n), "%v", took)
 			})
@@ -90,19 +93,20 @@
 	}
 }
 
-// TestEachThatComesIsAsked: instances are lost and heard within moments of each other, as when a partition heals. What only one of
-// them knows is asked for, whoever else was lost or heard just before.
-func TestEachThatComesIsAsked(t *testing.T) {
+// TestEveryReturningInstanceIsAskedForStops: when a partition heals, instances are lost and heard
+// within moments of each other. A stop that only one of them knows must be asked for, whichever
+// others were lost or heard just before.
+func TestEveryReturningInstanceIsAskedForStops(t *testing.T) {
 	const settle = 3 * time.Second
 	for name, before := range map[string][]string{"loss before": {}, "another before": {"front-hall-2-2"}} {
 		t.Run(name, func(t *testing.T) {
 			runFleet(t, 3, true, func(w *fleet) {
 				fact := stoppedFact("desk")
-				asks, knowing := w.nodes[0], w.nodes[1]
-				knowing.crashes.keep(fact)
-				asks.askCrashes(before)
-				asks.askCrashes([]string{knowing.Self.ID})
-				took := w.until(settle, func(n *node) bool { return n.crashes.knows(fact.Request) }, 1, 2)
+				asking, informed := w.nodes[0], w.nodes[1]
+				informed.crashes.setOwn(fact)
+				asking.askForCrashes(before)
+				asking.askForCrashes([]string{informed.Self.ID})
+				took := w.timeUntil(settle, func(n *node) bool { return n.crashes.knows(fact.Request) }, 1, 2)
 				assert.Assert(w, took < settle, "%v", took)
 			})
 		})
--- a/gateway/exchange/digest.go
+++ b/gateway/exchange/digest.go
@@ -8,177 +8,190 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// sums are what one instance sums up for its data centre, and the digests of all data centres that it has heard.
-type sums struct {
+// aggregate is what one instance aggregates for its data centre, and the last digest of each data
+// centre.
+type aggregate struct {
 	sequence uint64
-	// uses is what the instances of this data centre have counted since this one began to sum up, and own what of it
-	// this instance had counted itself when it looked last.
-	uses, own map[string]limits.Counted
-	// told is how many repeats of uses were told.
-	told    uint64
-	digests map[string]*digest
+	// totals is what the instances of this data centre have counted since this one began to
+	// aggregate. ownCounts is what this instance itself had counted when it was last added to
+	// totals.
+	totals, ownCounts map[string]limits.Counted
+	// announcedRetries is how many retries of totals the last digest held.
+	announcedRetries uint64
+	digests          map[string]*digest
 }
 
-// digest is the last one heard of a data centre.
+// digest describes the last digest received of a data centre.
 type digest struct {
 	instance          string
 	process, sequence uint64
-	at                time.Duration
+	receivedAt        time.Duration
 }
 
-func newSums() sums {
-	return sums{uses: map[string]limits.Counted{}, own: map[string]limits.Counted{}, digests: map[string]*digest{}}
+func newAggregate() aggregate {
+	return aggregate{totals: map[string]limits.Counted{}, ownCounts: map[string]limits.Counted{}, digests: map[string]*digest{}}
 }
 
-// count adds what an instance has counted since its last announcement. What it counted before the first one that is heard
-// is not known to be recent.
-func (s *sums) count(_ string, before, now *heard) {
+// addAnnounced adds what an instance has counted between two of its announcements. Counts before
+// the first announcement are left out: they may be old.
+func (s *aggregate) addAnnounced(_ string, before, now *receivedAnnouncement) {
 	if before != nil && before.process == now.process {
-		s.add(before.uses, now.uses)
+		s.addIncrease(before.counts, now.counts)
 	}
 }
 
-func (s *sums) add(before, now map[string]limits.Counted) {
+// addIncrease adds the increase of each service's counts to totals. Counts that have decreased are
+// left out.
+func (s *aggregate) addIncrease(before, now map[string]limits.Counted) {
 	for service, c := range now {
 		b := before[service]
 		if c.Requests < b.Requests || c.Repeats < b.Repeats {
 			continue
 		}
-		u := s.uses[service]
-		s.uses[service] = limits.Counted{Requests: u.Requests + c.Requests - b.Requests, Repeats: u.Repeats + c.Repeats - b.Repeats}
+		u := s.totals[service]
+		s.totals[service] = limits.Counted{Requests: u.Requests + c.Requests - b.Requests, Repeats: u.Repeats + c.Repeats - b.Repeats}
 	}
 }
 
-// digestOf is the name under which the sums of a data centre are taken: as if it were one more instance.
-func digestOf(dataCentre string) string { return "sums of " + dataCentre }
+// digestPeerName returns the name under which the digest of a data centre is passed to Endpoints,
+// as if it were one more instance.
+func digestPeerName(dataCentre string) string { return "sums of " + dataCentre }
 
-// digestTTL is how long a digest counts that is not followed by another one: an instance that sums up and dies is
-// replaced within that.
+// digestTTL is how long a digest counts without a later one. An aggregator that dies is replaced
+// within that time.
 const digestTTL = 4 * time.Second
 
-// digest sums up what the instances of this data centre told, and tells the others of it and those that sum up
-// elsewhere.
-func (x *Exchange) digest(r *roster) { x.tellSums(r, x.sumUp(r)) }
+// sendDigest aggregates what the instances of this data centre reported. It sends the result to
+// them and to the aggregators of the other data centres.
+func (x *Exchange) sendDigest(r *roster) { x.broadcastDigest(r, x.aggregateReports(r)) }
 
-// repeatsSoon is how many repeats of a data centre are told on at once: fewer wait for the next digest. In calm times four a second
-// are sent again by 59 instances, after the loss of a data centre's engines twenty at once.
-const repeatsSoon = 4
+// urgentRetries is the number of new retries of a data centre from which they are sent at once;
+// fewer wait for the next digest. Without faults, 59 instances retry four times a second in all.
+// After the loss of a data centre's engines there are twenty retries at once.
+const urgentRetries = 4
 
-// digestRepeats tells what the instances of this data centre have counted, where much was sent again since that was told. In
-// the seconds after a loss that is up to 16 times a second, 90 bytes to each instance.
-func (x *Exchange) digestRepeats(r *roster) {
-	if !x.repeatsToTell() {
+// sendRetriesDigest sends the counts of this data centre when many retries have been added since
+// the last digest. In the seconds after a loss that is up to 16 times a second, 90 bytes to each
+// instance.
+func (x *Exchange) sendRetriesDigest(r *roster) {
+	if !x.hasUrgentRetries() {
 		return
 	}
-	uses := x.Uses()
-	x.heardMu.Lock()
-	d := x.newDigest(uses)
-	d.Uses = encodeUses(x.sums.uses)
-	x.heardMu.Unlock()
-	x.tellSums(r, d)
+	counts := x.ServiceCounts()
+	x.announcementsMu.Lock()
+	d := x.nextDigest(counts)
+	d.Uses = encodeCounts(x.aggregate.totals)
+	x.announcementsMu.Unlock()
+	x.broadcastDigest(r, d)
 }
 
-// repeatsToTell tells whether so much was sent again in this data centre that the others should know now.
-func (x *Exchange) repeatsToTell() bool {
-	own := limits.Repeats(x.Uses())
-	x.heardMu.Lock()
-	defer x.heardMu.Unlock()
-	return limits.Repeats(x.sums.uses)+own-limits.Repeats(x.sums.own) >= x.sums.told+repeatsSoon
+// hasUrgentRetries reports whether this data centre has at least urgentRetries that no digest has
+// held yet.
+func (x *Exchange) hasUrgentRetries() bool {
+	own := limits.Repeats(x.ServiceCounts())
+	x.announcementsMu.Lock()
+	defer x.announcementsMu.Unlock()
+	return limits.Repeats(x.aggregate.totals)+own-limits.Repeats(x.aggregate.ownCounts) >= x.aggregate.announcedRetries+urgentRetries
 }
 
-func (x *Exchange) tellSums(r *roster, d *peerv1.Digest) {
-	to := r.inDataCentre(x.Self.DataCentre)
-	for dc, ids := range r.summers {
+// broadcastDigest sends a digest to the instances of this data centre and to the aggregators of the
+// others, and applies it here.
+func (x *Exchange) broadcastDigest(r *roster, d *peerv1.Digest) {
+	to := r.addressesIn(x.Self.DataCentre)
+	for dc, ids := range r.aggregators {
 		if dc != x.Self.DataCentre {
-			to = append(to, r.to(ids...)...)
+			to = append(to, r.addressesOf(ids...)...)
 		}
 	}
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Digest{Digest: d}}, to...)
-	x.take(d)
+	x.applyDigest(d)
 }
 
-func (x *Exchange) sumUp(r *roster) *peerv1.Digest {
-	own, uses := x.Endpoints.Told(), x.Uses()
-	x.heardMu.Lock()
-	defer x.heardMu.Unlock()
-	all := []routing.PeerReport{own}
+// aggregateReports returns the next digest, from this instance's report and those of its data
+// centre.
+func (x *Exchange) aggregateReports(r *roster) *peerv1.Digest {
+	own, counts := x.Endpoints.OwnReport(), x.ServiceCounts()
+	x.announcementsMu.Lock()
+	defer x.announcementsMu.Unlock()
+	reports := []routing.PeerReport{own}
 	for i := range r.alive {
-		if h := x.heard[r.alive[i].ID]; h != nil && r.alive[i].DataCentre == x.Self.DataCentre {
-			all = append(all, h.told)
+		if h := x.announcements[r.alive[i].ID]; h != nil && r.alive[i].DataCentre == x.Self.DataCentre {
+			reports = append(reports, h.report)
 		}
 	}
-	d := x.newDigest(uses)
-	d.Instances = uint32(len(all))
-	return encodeDigest(d, routing.Combine(all), x.sums.uses)
+	d := x.nextDigest(counts)
+	d.Instances = uint32(len(reports))
+	return encodeDigest(d, routing.Combine(reports), x.aggregate.totals)
 }
 
-// newDigest takes what this instance has counted itself into the sums, and returns the next digest without them. The caller
-// holds heardMu.
-func (x *Exchange) newDigest(uses map[string]limits.Counted) *peerv1.Digest {
-	x.sums.add(x.sums.own, uses)
-	x.sums.own = uses
-	x.sums.told = limits.Repeats(x.sums.uses)
-	x.sums.sequence++
-	return &peerv1.Digest{DataCentre: x.Self.DataCentre, Instance: x.Self.ID, Process: x.process, Sequence: x.sums.sequence}
+// nextDigest adds this instance's own counts to the totals, and returns the next digest without a
+// report or counts. The caller holds announcementsMu.
+func (x *Exchange) nextDigest(counts map[string]limits.Counted) *peerv1.Digest {
+	x.aggregate.addIncrease(x.aggregate.ownCounts, counts)
+	x.aggregate.ownCounts = counts
+	x.aggregate.announcedRetries = limits.Repeats(x.aggregate.totals)
+	x.aggregate.sequence++
+	return &peerv1.Digest{DataCentre: x.Self.DataCentre, Instance: x.Self.ID, Process: x.process, Sequence: x.aggregate.sequence}
 }
 
-// digested takes a digest. One of another data centre is passed on to the instances of this one by the one that sums up
-// here.
-func (x *Exchange) digested(d *peerv1.Digest, raw []byte) {
+// receiveDigest takes a digest. The aggregator of this data centre passes on those of other data
+// centres to the instances of its own.
+func (x *Exchange) receiveDigest(d *peerv1.Digest, raw []byte) {
 	if d.DataCentre == "" || d.Instance == "" {
 		x.metrics.malformed.Inc(1)
 		return
 	}
-	if d.Instance == x.Self.ID || !x.take(d) {
+	if d.Instance == x.Self.ID || !x.applyDigest(d) {
 		return
 	}
-	if r := x.roster(); d.DataCentre != x.Self.DataCentre && r.sumsUp() {
-		x.sendRaw(raw, r.inDataCentre(x.Self.DataCentre)...)
+	if r := x.roster(); d.DataCentre != x.Self.DataCentre && r.isAggregator() {
+		x.sendRaw(raw, r.addressesIn(x.Self.DataCentre)...)
 	}
 }
 
-// take takes the sums of a data centre; false when they are known already.
-func (x *Exchange) take(d *peerv1.Digest) bool {
+// applyDigest applies a digest. It returns false for one that is not newer than the last one of the
+// same sender.
+func (x *Exchange) applyDigest(d *peerv1.Digest) bool {
 	now := x.Clock()
-	next := &digest{instance: d.Instance, process: d.Process, sequence: d.Sequence, at: now}
-	x.heardMu.Lock()
-	old := x.sums.digests[d.DataCentre]
-	same := old != nil && old.instance == next.instance && old.process == next.process
-	if same && next.sequence <= old.sequence {
-		x.heardMu.Unlock()
+	next := &digest{instance: d.Instance, process: d.Process, sequence: d.Sequence, receivedAt: now}
+	x.announcementsMu.Lock()
+	old := x.aggregate.digests[d.DataCentre]
+	sameSender := old != nil && old.instance == next.instance && old.process == next.process
+	if sameSender && next.sequence <= old.sequence {
+		x.announcementsMu.Unlock()
 		return false
 	}
-	x.sums.digests[d.DataCentre] = next
-	x.heardMu.Unlock()
-	name := digestOf(d.DataCentre)
+	x.aggregate.digests[d.DataCentre] = next
+	x.announcementsMu.Unlock()
+	name := digestPeerName(d.DataCentre)
 	if old != nil {
-		x.metrics.sumAge.RecordDuration(now - old.at)
+		x.metrics.digestAge.RecordDuration(now - old.receivedAt)
 	}
-	if old != nil && !same {
-		x.Endpoints.Heard(name, routing.PeerReport{}, nil) // it has begun to count anew
+	if old != nil && !sameSender {
+		x.Endpoints.SetPeerReport(name, routing.PeerReport{}, nil) // the new sender counts from zero
 	}
 	r := x.roster()
-	told, uses := decodeDigest(d)
-	if d.Instances == 0 { // it tells only what was counted
-		x.Endpoints.Counted(name, uses)
+	report, counts := decodeDigest(d)
+	if d.Instances == 0 { // a digest of counts only
+		x.Endpoints.SetPeerCounts(name, counts)
 		return true
 	}
-	x.Endpoints.Heard(name, told.Filter(func(id string) bool { return !r.owned(id) }), uses)
+	x.Endpoints.SetPeerReport(name, report.Filter(func(id string) bool { return !r.owns(id) }), counts)
 	return true
 }
 
-// expireDigests forgets the sums of data centres that nobody sums up any more.
+// expireDigests drops the digests of data centres that no instance aggregates any more.
 func (x *Exchange) expireDigests(now time.Duration) {
-	x.heardMu.Lock()
-	var late []string
-	for dc, d := range x.sums.digests {
-		if now-d.at >= digestTTL {
-			delete(x.sums.digests, dc)
-			late = append(late, dc)
+	x.announcementsMu.Lock()
+	var expired []string
+	for dc, d := range x.aggregate.digests {
+		if now-d.receivedAt >= digestTTL {
+			delete(x.aggregate.digests, dc)
+			expired = append(expired, dc)
 		}
 	}
-	x.heardMu.Unlock()
-	for _, dc := range late {
-		x.Endpoints.Heard(digestOf(dc), routing.PeerReport{}, nil)
+	x.announcementsMu.Unlock()
+	for _, dc := range expired {
+		x.Endpoints.SetPeerReport(digestPeerName(dc), routing.PeerReport{}, nil)
 	}
 }
--- a/gateway/exchange/doc.go
+++ b/gateway/exchange/doc.go
@@ -1,28 +1,43 @@
-// Package exchange is what instances that forward tell each other, in datagrams. It has five parts.
+// Package exchange keeps the instances that forward requests informed about each other. They send
+// each other datagrams, which are neither acknowledged nor repeated.
 //
-// Members (members.go): who is there, whether callers may be sent to it and whether the platform's store answers it,
-// by core/membership. Each instance pings another one four times a second. One that starts, leaves or changes tells all
-// others directly; so does whoever finds that one is lost. That costs an instance 1.2 kB a second each way however large
-// the fleet is, and a datagram to each other instance for each change.
+// Members (members.go): which instances are alive, whether callers may be sent to them, and whether
+// the platform's store answers them. Package core/membership decides that. Each instance pings
+// another one four times a second. An instance that starts, leaves or changes tells all others
+// directly; an instance that finds another one lost does so too. This costs an instance 1.2 kB a
+// second each way, whatever the size of the fleet, and for each change a datagram to every other
+// instance.
 //
-// Announcements (announce.go): what an instance has placed at endpoints and found out about them. In a fleet of up to
-// directMost others all are told. In a larger one the owners of those endpoints are told: each endpoint has two, whom
-// all instances agree on by a hash.
+// Announcements (announce.go): what an instance has placed at endpoints, and what it has found out
+// about them. In a fleet of up to maxFullMeshPeers others, a full mesh, every instance announces to
+// every other. In a larger fleet it announces to the owners of those endpoints. Each endpoint has
+// two owners, which all instances determine alike by a hash.
 //
-// Questions (ask.go): in a large fleet, before a stream is placed, the owners of the engines that come into question are
-// asked what is placed there. That takes one round trip, and is as exact as if all told all.
+// Questions (ask.go): in a large fleet, before a stream is placed, the owners of the candidate
+// engines are asked what is placed there. That takes one round trip, and is as exact as a full
+// mesh.
 //
-// Digests (digest.go): in a large fleet one instance of each data centre sums up what its instances found out about
-// endpoints and what they sent again, and all are told the sums within two seconds. What was sent again counts against one bound
-// for all, so it is told on at once where it is much.
+// Claims (claim.go): right before a request is sent to an engine, an owner of the engine grants or
+// refuses room for it.
 //
-// Crashes (crashes.go): requests under which endpoints ended. All are told at once. One that starts, or that hears again from
-// others, asks two of them for all that are stopped. Nothing is sent while there is nothing to tell.
+// Digests (digest.go): in a large fleet, one instance of each data centre, the aggregator, combines
+// what the instances of its data centre found out about endpoints and how many requests they sent
+// again. All instances receive the result within two seconds. Retries count against one limit for
+// the whole fleet, so they are passed on at once when there are many.
 //
-// Failure modes: a datagram that is lost is made good by what comes after it. Nothing is repeated or acknowledged, and no
-// connection can go silent. An instance that falls silent is left out, and what it placed is forgotten. One that is cut
-// off from all others suspects nobody and goes on with what it knows. An owner that does not answer in time leaves its
-// engines unknown, which a choice counts as worse than usual.
+// Crashes (crashes.go): requests under which endpoints ended. All instances are told at once. An
+// instance that starts, or that reaches others again, asks two of them for all stopped requests.
+// Nothing is sent while there is nothing to tell.
 //
-// Instances find each other by an object that each writes to the store when it starts for the first time (join.go).
+// Rollouts (rollouts.go): what instances counted about services that move to another build, and
+// what they decided.
+//
+// Failure modes: a lost datagram is made up for by the datagrams after it. No connection can go
+// silent, since there is none. An instance that falls silent is left out, and what it placed is
+// forgotten. An instance that is cut off from all others suspects none of them and continues with
+// what it knows. An owner that does not answer in time leaves its engines unknown, which ranks them
+// lower than usual.
+//
+// Instances find each other through an object that each of them writes to the store when it starts
+// for the first time (join.go).
 package exchange
--- /dev/null
+++ b/gateway/exchange/encoding.go
@@ -0,0 +1,142 @@
+package exchange
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"sort"
+
+	peerv1 "github.com/agateway/agateway/api/peer/v1"
+	"github.com/agateway/agateway/core/health"
+	"github.com/agateway/agateway/core/limits"
+	"github.com/agateway/agateway/core/routing"
+)
+
+// Maximum entries of an announcement. They keep it within 2,900 bytes; usual ones have 200 to 400
+// bytes.
+const (
+	maxPlaced    = 24
+	maxSuspects  = 32
+	maxEnded     = 24
+	maxPrefilled = 24
+	maxOutcomes  = 16
+	maxPaces     = 16
+)
+
+// encodeAnnouncement returns an announcement of a report and of the counts by service. Of too many
+// placements, outcomes and paces it keeps the largest, of other lists the first entries.
+func encodeAnnouncement(own routing.PeerReport, counts map[string]limits.Counted) *peerv1.Announcement {
+	a := &peerv1.Announcement{
+		Suspects: own.Suspects[:min(len(own.Suspects), maxSuspects)],
+		Ended:    own.Ended[:min(len(own.Ended), maxEnded)],
+		Uses:     encodeCounts(counts),
+	}
+	for _, r := range own.Prefilled[:min(len(own.Prefilled), maxPrefilled)] {
+		a.Read = append(a.Read, &peerv1.ReadAt{Endpoint: r.Endpoint, Prompt: r.Prompt})
+	}
+	for _, id := range largestKeys(own.Placed, maxPlaced, func(p routing.Placed) float64 { return float64(p.Tokens) }) {
+		p := own.Placed[id]
+		a.Placed = append(a.Placed, encodePlaced(id, &p))
+	}
+	a.Outcomes, a.Paces = encodeOutcomes(own.Outcomes), encodePaces(own.Paces)
+	return a
+}
+
+func encodePlaced(id string, p *routing.Placed) *peerv1.PlacedAt {
+	return &peerv1.PlacedAt{Endpoint: id, Open: uint32(p.Open), Tokens: uint32(p.Tokens), Unread: uint32(p.PendingPrefill)}
+}
+
+func decodePlaced(p *peerv1.PlacedAt) routing.Placed {
+	return routing.Placed{Open: int(p.GetOpen()), Tokens: int(p.GetTokens()), PendingPrefill: int(p.GetUnread())}
+}
+
+func encodeOutcomes(outcomes map[string]health.Counts) []*peerv1.OutcomesAt {
+	var out []*peerv1.OutcomesAt
+	for _, id := range largestKeys(outcomes, maxOutcomes, func(c health.Counts) float64 { return c.Bad }) {
+		out = append(out, &peerv1.OutcomesAt{Endpoint: id, Good: toTenths(outcomes[id].Good), Bad: toTenths(outcomes[id].Bad)})
+	}
+	return out
+}
+
+func decodeOutcomes(outcomes []*peerv1.OutcomesAt) map[string]health.Counts {
+	out := make(map[string]health.Counts, len(outcomes))
+	for _, o := range outcomes {
+		out[o.Endpoint] = health.Counts{Good: fromTenths(o.Good), Bad: fromTenths(o.Bad)}
+	}
+	return out
+}
+
+func encodePaces(paces map[string]float64) []*peerv1.PaceAt {
+	var out []*peerv1.PaceAt
+	for _, id := range largestKeys(paces, maxPaces, func(f float64) float64 { return f }) {
+		out = append(out, &peerv1.PaceAt{Endpoint: id, Factor: toTenths(paces[id])})
+	}
+	return out
+}
+
+func decodePaces(paces []*peerv1.PaceAt) map[string]float64 {
+	out := make(map[string]float64, len(paces))
+	for _, p := range paces {
+		out[p.Endpoint] = fromTenths(p.Factor)
+	}
+	return out
+}
+
+func encodeCounts(counts map[string]limits.Counted) []*peerv1.ServiceUse {
+	var out []*peerv1.ServiceUse
+	for service, c := range counts {
+		out = append(out, &peerv1.ServiceUse{Service: service, Requests: c.Requests, Repeats: c.Repeats})
+	}
+	return out
+}
+
+func decodeCounts(uses []*peerv1.ServiceUse) map[string]limits.Counted {
+	out := make(map[string]limits.Counted, len(uses))
+	for _, u := range uses {
+		out[u.Service] = limits.Counted{Requests: u.Requests, Repeats: u.Repeats}
+	}
+	return out
+}
+
+// tenthsPerUnit: outcomes and paces are sent as whole tenths.
+const tenthsPerUnit = 10
+
+func toTenths(f float64) uint32 { return uint32(math.Round(f * tenthsPerUnit)) }
+
+func fromTenths(n uint32) float64 { return float64(n) / tenthsPerUnit }
+
+// largestKeys returns the n keys of the largest values, largest first, and equals in the order of
+// the keys.
+func largestKeys[V any](values map[string]V, n int, size func(V) float64) []string {
+	ids := slices.Sorted(maps.Keys(values))
+	sort.SliceStable(ids, func(i, j int) bool { return size(values[ids[i]]) > size(values[ids[j]]) })
+	return ids[:min(len(ids), n)]
+}
+
+// decodeAnnouncement returns the report and the counts of an announcement.
+func decodeAnnouncement(a *peerv1.Announcement) (routing.PeerReport, map[string]limits.Counted) {
+	report := routing.PeerReport{
+		Suspects: a.Suspects, Ended: a.Ended, Placed: make(map[string]routing.Placed, len(a.Placed)),
+		Outcomes: decodeOutcomes(a.Outcomes), Paces: decodePaces(a.Paces),
+	}
+	for _, p := range a.Placed {
+		report.Placed[p.Endpoint] = decodePlaced(p)
+	}
+	for _, r := range a.Read {
+		report.Prefilled = append(report.Prefilled, routing.PrefilledPrompt{Endpoint: r.Endpoint, Prompt: r.Prompt})
+	}
+	return report, decodeCounts(a.Uses)
+}
+
+// encodeDigest adds an aggregated report and the counts to a digest. A data centre that has lost
+// all its engines has more suspects than an instance, so a digest holds twice as many.
+func encodeDigest(d *peerv1.Digest, report routing.PeerReport, counts map[string]limits.Counted) *peerv1.Digest {
+	d.Suspects = report.Suspects[:min(len(report.Suspects), 2*maxSuspects)]
+	d.Ended = report.Ended[:min(len(report.Ended), maxEnded)]
+	d.Outcomes, d.Paces, d.Uses = encodeOutcomes(report.Outcomes), encodePaces(report.Paces), encodeCounts(counts)
+	return d
+}
+
+func decodeDigest(d *peerv1.Digest) (routing.PeerReport, map[string]limits.Counted) {
+	return routing.PeerReport{Suspects: d.Suspects, Ended: d.Ended, Outcomes: decodeOutcomes(d.Outcomes), Paces: decodePaces(d.Paces)}, decodeCounts(d.Uses)
+}
--- a/gateway/exchange/exchange.go
+++ b/gateway/exchange/exchange.go
@@ -23,159 +23,169 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Store is where instances find each other.
+// Store holds the list of instances, through which they find each other.
 type Store interface {
-	// ListStale may return what is seconds old, at a tenth of the cost.
+	// ListStale may return a list that is some seconds old, at a tenth of the cost of a current
+	// one.
 	ListStale(ctx context.Context, kind string) (platform.Page, error)
 	Create(ctx context.Context, kind, name string, spec json.RawMessage) (platform.Object, error)
 	Replace(ctx context.Context, kind, name string, spec json.RawMessage, revision uint64) (platform.Object, error)
 }
 
-// Endpoints is what this instance knows of endpoints, and takes from others.
+// Endpoints holds what this instance knows of endpoints.
 type Endpoints interface {
-	// Told returns what this instance has to tell.
-	Told() routing.PeerReport
-	// Heard takes what another instance told, or several together did; the zero value forgets it. uses is what it has
-	// counted by service, nil where that is not told.
-	Heard(instance string, t routing.PeerReport, uses map[string]limits.Counted)
-	// Counted takes what another instance, or several together, have counted by service.
-	Counted(instance string, uses map[string]limits.Counted)
-	// SetOwned says of which endpoints this instance hears all that others place there.
+	// OwnReport returns what this instance reports to the others.
+	OwnReport() routing.PeerReport
+	// SetPeerReport replaces the report of another instance, or the digest of a data centre under
+	// the name of [digestPeerName]. The zero report removes it. counts is what the sender has
+	// counted by service; nil where that is not reported.
+	SetPeerReport(instance string, report routing.PeerReport, counts map[string]limits.Counted)
+	// SetPeerCounts takes what another instance, or a data centre, has counted by service, and
+	// keeps its report as it is.
+	SetPeerCounts(instance string, counts map[string]limits.Counted)
+	// SetOwned sets the endpoints of which this instance receives all placements.
 	SetOwned(owned func(endpoint string) bool)
-	// Summary returns what this instance knows of an endpoint that it owns, for another instance that asks.
+	// Summary returns what this instance knows of an endpoint that it owns, for the instance that
+	// asks; false if the endpoint is not listed here. prompt is the hash of the prompt asked about;
+	// 0 for none.
 	Summary(endpoint, asking string, prompt uint64) (routing.Summary, bool)
-	// Claim grants or refuses a claim of another instance at an endpoint that it owns, or with an empty name of this one; known is false for
-	// an endpoint that is not listed here.
+	// Claim grants or refuses room at an endpoint that this instance owns. peer is the instance
+	// that claims it; empty for this one. known is false for an endpoint that is not listed here.
 	Claim(endpoint, peer string, c routing.Claim) (granted, known bool)
-	// Learn takes an owner's summary of an endpoint.
-	Learn(s *routing.Summary, prompt uint64)
+	// ApplySummary takes an owner's summary of an endpoint. prompt is the hash of the prompt that
+	// was asked about; 0 for none.
+	ApplySummary(s *routing.Summary, prompt uint64)
 }
 
-// Options of an exchange.
+// Options configures an Exchange.
 type Options struct {
 	Self  Peer
 	Conn  net.PacketConn
 	Store Store
-	// Ready tells whether callers may be sent to this instance.
+	// Ready reports whether callers may be sent to this instance.
 	Ready func() bool
-	// Access tells whether the store answers this instance.
-	Access    func() source.Access
-	Endpoints Endpoints
-	Crashes   Crashes
+	// StoreAccess reports whether the store answers this instance.
+	StoreAccess func() source.Access
+	Endpoints   Endpoints
+	Crashes     Crashes
 	// Rollouts is nil where services are not moved to other builds.
 	Rollouts Rollouts
-	// Uses returns what this instance has counted, by service.
-	Uses func() map[string]limits.Counted
+	// ServiceCounts returns what this instance has counted since its start, by service.
+	ServiceCounts func() map[string]limits.Counted
 	// Clock also runs while the machine is suspended.
 	Clock clock.Now
 	Log   *logrus.Entry
 	Scope tally.Scope
 }
 
-// Exchange is this instance's link to the others. It is safe for concurrent use.
+// Exchange tells the other instances what this instance knows, and receives what they know. It is
+// safe for concurrent use.
 type Exchange struct {
 	Options
-	process uint64 // drawn at start; it names this run of the instance
-	wake    chan struct{}
-	met     chan struct{}
-	metOnce sync.Once
+	process       uint64 // drawn at random at start; identifies this run of the instance
+	changeSignal  chan struct{}
+	discoveryDone chan struct{}
+	discoveryOnce sync.Once
 
-	// mu guards the members, sendMu what is announced, heardMu what others announced, and askMu the questions.
-	mu      sync.Mutex
-	members members
-	current atomic.Pointer[roster]
+	// mu guards the members, sendMu what is to be announced, announcementsMu the announcements
+	// received and the aggregate, and requestMu the questions and claims in progress.
+	mu            sync.Mutex
+	members       members
+	currentRoster atomic.Pointer[roster]
 
-	sendMu         sync.Mutex
-	changed        map[string]bool // endpoints of which there is news
-	sequence       uint64
-	steps          int // of Run
-	crashQuestions crashQuestions
+	sendMu           sync.Mutex
+	changedEndpoints map[string]bool // endpoints with changes to announce
+	sequence         uint64
+	announceRounds   int // used by Run only
+	crashQuestions   crashQuestions
 
-	toldRepeats atomic.Uint64 // what of Uses those that sum up were told when it changed
+	announcedRetries atomic.Uint64 // retries in ServiceCounts at the last announcement of changes
 
-	heardMu sync.Mutex
-	heard   map[string]*heard
-	sums    sums
+	announcementsMu sync.Mutex
+	announcements   map[string]*receivedAnnouncement
+	aggregate       aggregate
 
-	askMu  sync.Mutex
-	asked  map[uint64]*inquiry
-	claims map[uint64]chan bool
-	number uint64
+	requestMu      sync.Mutex
+	pendingQueries map[uint64]*ownerQuery
+	pendingClaims  map[uint64]chan bool
+	lastRequest    uint64
 
 	metrics metrics
 }
 
-// New returns an exchange that knows only this instance.
+// New returns an exchange that knows only this instance. It sends and receives nothing before Run.
 func New(o Options) *Exchange {
 	x := &Exchange{
-		Options: o, process: rand.Uint64(), wake: make(chan struct{}, 1), met: make(chan struct{}),
-		changed: map[string]bool{}, heard: map[string]*heard{}, sums: newSums(), asked: map[uint64]*inquiry{}, claims: map[uint64]chan bool{}, metrics: newMetrics(o.Scope),
+		Options: o, process: rand.Uint64(), changeSignal: make(chan struct{}, 1), discoveryDone: make(chan struct{}),
+		changedEndpoints: map[string]bool{}, announcements: map[string]*receivedAnnouncement{}, aggregate: newAggregate(), pendingQueries: map[uint64]*ownerQuery{}, pendingClaims: map[uint64]chan bool{}, metrics: newMetrics(o.Scope),
 	}
 	rnd := rand.New(rand.NewPCG(x.process, x.process))
-	x.members = members{node: membership.New(memberSettings(), x.self(), rnd), probes: map[uint64]probe{}}
-	x.current.Store(newRoster(o.Self, nil, 0))
+	x.members = members{node: membership.New(memberSettings(), x.initialMember(), rnd), probes: map[uint64]probe{}}
+	x.currentRoster.Store(newRoster(o.Self, nil, 0))
 	return x
 }
 
-// Run takes part until ctx ends.
+// Run exchanges datagrams with the other instances until ctx ends. Then it closes Conn.
 func (x *Exchange) Run(ctx context.Context) {
 	go x.listen(ctx)
-	go x.join(ctx)
-	go x.watch(ctx)
+	go x.joinFleet(ctx)
+	go x.monitorMembers(ctx)
 	go x.reportRollouts(ctx)
 	for ctx.Err() == nil {
-		x.await(ctx, x.step())
+		x.awaitNextAnnouncement(ctx, x.announceDue())
 	}
 }
 
-// Met is closed when this instance has looked for the others after its start: whoever asks them from then on, and not the
-// store, finds those that are there.
-func (x *Exchange) Met() <-chan struct{} { return x.met }
+// DiscoveryDone returns a channel that is closed when this instance has looked for the others after
+// its start. From then on, those of them that are alive can be asked in place of the store.
+func (x *Exchange) DiscoveryDone() <-chan struct{} { return x.discoveryDone }
 
-// Changed makes the others learn soon that something has changed at some endpoints, or of this instance itself where
-// none is named.
+// Changed makes the others learn soon that something has changed at some endpoints, or at this
+// instance itself where none is named.
 func (x *Exchange) Changed(endpoints ...string) {
 	x.sendMu.Lock()
 	for _, id := range endpoints {
-		x.changed[id] = true
+		x.changedEndpoints[id] = true
 	}
 	x.sendMu.Unlock()
-	x.wakeUp()
+	x.signalChange()
 }
 
-func (x *Exchange) wakeUp() {
+func (x *Exchange) signalChange() {
 	select {
-	case x.wake <- struct{}{}:
+	case x.changeSignal <- struct{}{}:
 	default:
 	}
 }
 
-// Freed makes the owners of some endpoints learn soon that they hold less than before. Where all are told all, that waits
-// for the next announcement.
+// Freed makes the owners of some endpoints learn soon that the endpoints hold less than before. In
+// a full mesh that waits for the next announcement.
 func (x *Exchange) Freed(endpoints ...string) {
-	if !x.current.Load().direct() {
+	if !x.currentRoster.Load().fullMesh() {
 		x.Changed(endpoints...)
 	}
 }
 
-// Repeated makes those that sum up learn soon that something was sent once more. Where all are told all, that waits for the
-// next announcement.
+// Repeated makes the aggregators learn soon that a request was sent again. In a full mesh that
+// waits for the next announcement.
 func (x *Exchange) Repeated() { x.Freed() }
 
-// Now tells the others at once what this instance is, such as when it leaves.
-func (x *Exchange) Now() { x.say() }
+// PublishStatus tells the others at once if this instance's readiness or store access has changed,
+// such as when it leaves.
+func (x *Exchange) PublishStatus() { x.broadcastIfChanged() }
 
-// Instances returns how many instances are alive, and how many are known, this one included.
+// Instances returns how many instances are alive and how many are known, including this one.
 func (x *Exchange) Instances() (alive, known int) {
 	r := x.roster()
-	return len(r.alive) + 1, r.known + 1
+	return len(r.alive) + 1, r.knownCount + 1
 }
 
 // Others returns the other instances that are alive.
 func (x *Exchange) Others() []Peer { return x.roster().alive }
 
-// Entry returns the addresses that a caller may use, nearest first.
-func (x *Exchange) Entry(dataCentre, region string) []string {
+// EntryAddresses returns the addresses that a caller in the given data centre and region may use,
+// nearest first. Equally near ones are in random order.
+func (x *Exchange) EntryAddresses(dataCentre, region string) []string {
 	var ready []Peer
 	for _, p := range x.Others() {
 		if p.Ready {
@@ -186,7 +196,7 @@
 		ready = append(ready, x.Self)
 	}
 	rand.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
-	sortNearest(ready, dataCentre, region)
+	sortByDistance(ready, dataCentre, region)
 	out := make([]string, len(ready))
 	for i := range ready {
 		out[i] = ready[i].Callers
@@ -194,26 +204,27 @@
 	return out
 }
 
-// datagramMost is the size of the receive buffer, in bytes.
-const datagramMost = 8192
+// receiveBufferBytes is the size of the receive buffer.
+const receiveBufferBytes = 8192
 
-// readPause keeps an instance whose socket fails from spinning.
-const readPause = 60 * time.Millisecond
+// readErrorPause is the pause after a failed read. It keeps an instance whose socket fails from
+// spinning.
+const readErrorPause = 60 * time.Millisecond
 
 func (x *Exchange) listen(ctx context.Context) {
 	context.AfterFunc(ctx, func() { _ = x.Conn.Close() })
-	buf := make([]byte, datagramMost)
+	buf := make([]byte, receiveBufferBytes)
 	for ctx.Err() == nil {
 		n, from, err := x.Conn.ReadFrom(buf)
 		if err != nil {
-			pause.For(ctx, readPause)
+			pause.For(ctx, readErrorPause)
 			continue
 		}
 		x.receive(buf[:n], from)
 	}
 }
 
-// receive takes a datagram of another instance.
+// receive handles a datagram of another instance. One that can't be decoded is counted and dropped.
 func (x *Exchange) receive(raw []byte, from net.Addr) {
 	var d peerv1.Datagram
 	if err := proto.Unmarshal(raw, &d); err != nil {
@@ -224,30 +235,30 @@
 	x.metrics.receivedBytes.Inc(int64(len(raw)))
 	switch body := d.Body.(type) {
 	case *peerv1.Datagram_Gossip:
-		x.gossiped(body.Gossip, from)
+		x.receiveGossip(body.Gossip, from)
 	case *peerv1.Datagram_Announcement:
-		x.announced(body.Announcement)
+		x.receiveAnnouncement(body.Announcement)
 	case *peerv1.Datagram_Digest:
-		x.digested(body.Digest, raw)
+		x.receiveDigest(body.Digest, raw)
 	case *peerv1.Datagram_Question:
-		x.answer(body.Question, from)
+		x.answerQuestion(body.Question, from)
 	case *peerv1.Datagram_Summaries:
-		x.answered(body.Summaries)
+		x.receiveSummaries(body.Summaries)
 	case *peerv1.Datagram_Crashes:
-		x.crashed(body.Crashes, from)
+		x.receiveCrashes(body.Crashes, from)
 	case *peerv1.Datagram_Claim:
-		x.claimed(body.Claim, from)
+		x.answerClaim(body.Claim, from)
 	case *peerv1.Datagram_Grant:
-		x.granted(body.Grant)
+		x.receiveGrant(body.Grant)
 	case *peerv1.Datagram_Rollouts:
-		x.toldRollouts(body.Rollouts, raw)
+		x.receiveRollouts(body.Rollouts, raw)
 	default:
 		x.metrics.malformed.Inc(1)
 	}
 }
 
-// encode returns a datagram; nil when it can't be encoded, which is logged.
-func (x *Exchange) encode(d *peerv1.Datagram) []byte {
+// marshal returns an encoded datagram; nil when it can't be encoded, which is logged.
+func (x *Exchange) marshal(d *peerv1.Datagram) []byte {
 	raw, err := proto.Marshal(d)
 	if err != nil {
 		x.Log.WithError(err).Error("datagram can't be encoded")
@@ -256,9 +267,10 @@
 	return raw
 }
 
-// send sends a datagram to some addresses. One that can't be sent is as good as one that is lost.
+// send sends a datagram to some addresses; nil addresses are skipped. An error of the socket is
+// ignored: the effect is that of a lost datagram.
 func (x *Exchange) send(d *peerv1.Datagram, to ...net.Addr) {
-	if raw := x.encode(d); raw != nil {
+	if raw := x.marshal(d); raw != nil {
 		x.sendRaw(raw, to...)
 	}
 }
--- a/gateway/exchange/exchange_bench_test.go
+++ b/gateway/exchange/exchange_bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/agateway/agateway/core/routing"
 )
 
-// announcement is one of an instance with five streams.
-func announcement(from string, sequence uint64) *peerv1.Announcement {
+// newAnnouncement returns the announcement of an instance with five streams.
+func newAnnouncement(from string, sequence uint64) *peerv1.Announcement {
 	a := &peerv1.Announcement{
 		Instance: from, Sequence: sequence,
 		Uses: []*peerv1.ServiceUse{{Service: "huvo11a", Requests: 1000, Repeats: 20}, {Service: "wuno96b", Requests: 9000}},
@@ -29,16 +29,16 @@
 	return a
 }
 
-// BenchmarkReceive is what one announcement of another instance costs.
+// BenchmarkReceive measures the processing of one announcement of another instance.
 func BenchmarkReceive(b *testing.B) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := routing.NewView(routing.DefaultSettings())
 	x := New(Options{
 		Self: Peer{ID: "self"}, Log: logrus.NewEntry(log), Scope: tally.NoopScope, Clock: func() time.Duration { return 0 },
-		Endpoints: &viewed{view: view},
+		Endpoints: &viewEndpoints{view: view},
 	})
-	a := announcement("front-alm-hall-a-1", 1)
+	a := newAnnouncement("front-alm-hall-a-1", 1)
 	datagram := &peerv1.Datagram{Body: &peerv1.Datagram_Announcement{Announcement: a}}
 	var raw []byte
 	b.ReportAllocs()
@@ -50,26 +50,28 @@
 	b.ReportMetric(float64(len(raw)), "B/announcement")
 }
 
-// viewed is a view of endpoints that takes what others tell.
-type viewed struct{ view *routing.View }
+// viewEndpoints implements Endpoints with a routing.View.
+type viewEndpoints struct{ view *routing.View }
 
-func (v *viewed) Told() routing.PeerReport { return routing.PeerReport{Placed: v.view.OwnPlacements()} }
+func (v *viewEndpoints) OwnReport() routing.PeerReport {
+	return routing.PeerReport{Placed: v.view.OwnPlacements()}
+}
 
-func (v *viewed) Heard(instance string, t routing.PeerReport, _ map[string]limits.Counted) {
-	v.view.SetPeerReport(time.Time{}, instance, t)
+func (v *viewEndpoints) SetPeerReport(instance string, report routing.PeerReport, _ map[string]limits.Counted) {
+	v.view.SetPeerReport(time.Time{}, instance, report)
 }
 
-func (v *viewed) Counted(string, map[string]limits.Counted) {}
+func (v *viewEndpoints) SetPeerCounts(string, map[string]limits.Counted) {}
 
-func (v *viewed) SetOwned(owned func(string) bool) { v.view.SetOwned(owned) }
+func (v *viewEndpoints) SetOwned(owned func(string) bool) { v.view.SetOwned(owned) }
 
-func (v *viewed) Claim(endpoint, peer string, c routing.Claim) (granted, known bool) {
+func (v *viewEndpoints) Claim(endpoint, peer string, c routing.Claim) (granted, known bool) {
 	return v.view.Claim(time.Now(), endpoint, peer, c)
 }
-func (v *viewed) Summary(endpoint, asking string, prompt uint64) (routing.Summary, bool) {
+func (v *viewEndpoints) Summary(endpoint, asking string, prompt uint64) (routing.Summary, bool) {
 	return v.view.Summary(time.Time{}, endpoint, asking, prompt)
 }
 
-func (v *viewed) Learn(s *routing.Summary, prompt uint64) {
+func (v *viewEndpoints) ApplySummary(s *routing.Summary, prompt uint64) {
 	v.view.ApplySummary(time.Time{}, s, prompt)
 }
--- a/gateway/exchange/fleet_test.go
+++ b/gateway/exchange/fleet_test.go
@@ -25,14 +25,14 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// list is the store's list of instances.
-type list struct {
+// storeList is the list of instances in the store.
+type storeList struct {
 	mu      sync.Mutex
 	objects map[string]json.RawMessage
 	calls   int
 }
 
-func (l *list) ListStale(context.Context, string) (platform.Page, error) {
+func (l *storeList) ListStale(context.Context, string) (platform.Page, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var page platform.Page
@@ -42,7 +42,7 @@
 	return page, nil
 }
 
-func (l *list) Create(_ context.Context, _, name string, spec json.RawMessage) (platform.Object, error) {
+func (l *storeList) Create(_ context.Context, _, name string, spec json.RawMessage) (platform.Object, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.objects[name] = spec
@@ -50,11 +50,11 @@
 	return platform.Object{Name: name, Spec: spec}, nil
 }
 
-func (l *list) Replace(ctx context.Context, kind, name string, spec json.RawMessage, _ uint64) (platform.Object, error) {
+func (l *storeList) Replace(ctx context.Context, kind, name string, spec json.RawMessage, _ uint64) (platform.Object, error) {
 	return l.Create(ctx, kind, name, spec)
 }
 
-// node is one instance of a test fleet: what it knows of endpoints, and its exchange.
+// node is one instance of a test fleet: its exchange, and what it knows of endpoints and requests.
 type node struct {
 	*Exchange
 	index int
@@ -62,24 +62,24 @@
 	stop  context.CancelFunc
 	log   *logrus.Logger
 
-	mu    sync.Mutex
-	told  routing.PeerReport
-	uses  map[string]limits.Counted
-	view  *routing.View
-	heard map[string]map[string]limits.Counted
+	mu         sync.Mutex
+	report     routing.PeerReport
+	counts     map[string]limits.Counted
+	view       *routing.View
+	peerCounts map[string]map[string]limits.Counted
 
-	crashes register
+	crashes crashRecorder
 }
 
-// register is what an instance of a test fleet knows of requests.
-type register struct {
+// crashRecorder implements Crashes. It records the requests that facts were received about.
+type crashRecorder struct {
 	mu       sync.Mutex
 	own      []crashers.Fact
 	heard    map[crashers.Request]time.Time
 	complete bool
 }
 
-func (r *register) Heard(_ string, facts []crashers.Fact, complete bool) {
+func (r *crashRecorder) Heard(_ string, facts []crashers.Fact, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.complete = r.complete || complete
@@ -91,51 +91,51 @@
 	}
 }
 
-func (r *register) Facts() ([]crashers.Fact, bool) {
+func (r *crashRecorder) Facts() ([]crashers.Fact, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.own, r.complete
 }
 
-func (r *register) Forget(string) {}
+func (r *crashRecorder) Forget(string) {}
 
-// keep makes the instance know of requests by itself.
-func (r *register) keep(facts ...crashers.Fact) {
+// setOwn sets the facts that the instance tells when it is asked.
+func (r *crashRecorder) setOwn(facts ...crashers.Fact) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.own = facts
 }
 
-func (r *register) knows(req crashers.Request) bool {
+func (r *crashRecorder) knows(req crashers.Request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.heard[req]
 	return ok
 }
 
-func (n *node) Told() routing.PeerReport {
+func (n *node) OwnReport() routing.PeerReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told
+	return n.report
 }
 
-func (n *node) counted() map[string]limits.Counted {
+func (n *node) ownCounts() map[string]limits.Counted {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return maps.Clone(n.uses)
+	return maps.Clone(n.counts)
 }
 
-func (n *node) Heard(instance string, t routing.PeerReport, uses map[string]limits.Counted) {
+func (n *node) SetPeerReport(instance string, report routing.PeerReport, counts map[string]limits.Counted) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.SetPeerReport(time.Now(), instance, t)
-	n.heard[instance] = uses
+	n.view.SetPeerReport(time.Now(), instance, report)
+	n.peerCounts[instance] = counts
 }
 
-func (n *node) Counted(instance string, uses map[string]limits.Counted) {
+func (n *node) SetPeerCounts(instance string, counts map[string]limits.Counted) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard[instance] = uses
+	n.peerCounts[instance] = counts
 }
 
 func (n *node) SetOwned(owned func(string) bool) {
@@ -156,41 +156,42 @@
 	return n.view.Summary(time.Now(), endpoint, asking, prompt)
 }
 
-func (n *node) Learn(s *routing.Summary, prompt uint64) {
+func (n *node) ApplySummary(s *routing.Summary, prompt uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.ApplySummary(time.Now(), s, prompt)
 }
 
-// repeats returns what all data centres have sent again, as this instance heard.
-func (n *node) repeats() uint64 {
+// peerRetries returns the retries of all data centres, as this instance received them.
+func (n *node) peerRetries() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := uint64(0)
-	for _, uses := range n.heard {
-		sum += uses["s"].Repeats
+	for _, counts := range n.peerCounts {
+		sum += counts["s"].Repeats
 	}
 	return sum
 }
 
-// fleet is instances on a network in memory, in virtual time.
+// fleet is a set of instances on a network in memory, in virtual time.
 type fleet struct {
 	*testing.T
 	net   *memnet.Net
 	began time.Time
-	store *list
+	store *storeList
 	nodes []*node
 }
 
 const fleetDataCentres = 5
 
-// runFleet starts n instances whose entries the store has or not, lets them come together, and runs f.
-func runFleet(t *testing.T, n int, known bool, f func(*fleet)) {
+// runFleet starts n instances, gives them five seconds to find each other, and runs f. With listed
+// set, the store lists them all before the start.
+func runFleet(t *testing.T, n int, listed bool, f func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &fleet{T: t, net: memnet.New(), began: time.Now(), store: &list{objects: map[string]json.RawMessage{}}}
+		w := &fleet{T: t, net: memnet.New(), began: time.Now(), store: &storeList{objects: map[string]json.RawMessage{}}}
 		for i := range n {
-			if known {
-				w.list(i)
+			if listed {
+				w.addToStore(i)
 			}
 		}
 		for i := range n {
@@ -209,7 +210,7 @@
 
 func peersAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:83", i/250, i%250+1) }
 
-func (w *fleet) self(i int) Peer {
+func (w *fleet) peer(i int) Peer {
 	p := Peer{
 		ID: fmt.Sprintf("front-hall-%d-%d", i%fleetDataCentres, i), Callers: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1), Peers: peersAddress(i),
 		DataCentre: fmt.Sprint("hall-", i%fleetDataCentres), Region: "south", Link: 20,
@@ -220,14 +221,14 @@
 	return p
 }
 
-func (w *fleet) list(i int) {
-	s := w.self(i)
-	raw, err := json.Marshal(entry{s.Callers, s.Peers, s.DataCentre, s.Region})
+func (w *fleet) addToStore(i int) {
+	s := w.peer(i)
+	raw, err := json.Marshal(instanceEntry{s.Callers, s.Peers, s.DataCentre, s.Region})
 	assert.NilError(w, err)
 	w.store.objects[s.ID] = raw
 }
 
-// start starts an instance, or starts it again.
+// start starts an instance for the first time or again.
 func (w *fleet) start(i int) *node {
 	name := fmt.Sprint("f", i)
 	w.net.SetCrashed(name, false)
@@ -235,11 +236,11 @@
 	assert.NilError(w, err)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	n := &node{index: i, log: log, uses: map[string]limits.Counted{}, view: routing.NewView(routing.DefaultSettings()), heard: map[string]map[string]limits.Counted{}}
+	n := &node{index: i, log: log, counts: map[string]limits.Counted{}, view: routing.NewView(routing.DefaultSettings()), peerCounts: map[string]map[string]limits.Counted{}}
 	n.ready.Store(true)
 	n.Exchange = New(Options{
-		Self: w.self(i), Conn: conn, Store: w.store, Ready: n.ready.Load, Access: func() source.Access { return source.StoreUnknown },
-		Endpoints: n, Crashes: &n.crashes, Uses: n.counted, Clock: func() time.Duration { return time.Since(w.began) + time.Hour },
+		Self: w.peer(i), Conn: conn, Store: w.store, Ready: n.ready.Load, StoreAccess: func() source.Access { return source.StoreUnknown },
+		Endpoints: n, Crashes: &n.crashes, ServiceCounts: n.ownCounts, Clock: func() time.Duration { return time.Since(w.began) + time.Hour },
 		Log: logrus.NewEntry(log), Scope: tally.NewTestScope("", nil),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -253,7 +254,7 @@
 	return n
 }
 
-// kill ends an instance as a kill does.
+// kill ends an instance without letting it say that it leaves.
 func (w *fleet) kill(i int) {
 	w.net.SetCrashed(fmt.Sprint("f", i), true)
 	w.nodes[i].stop()
@@ -263,16 +264,17 @@
 	return slices.ContainsFunc(n.Others(), func(p Peer) bool { return p.ID == id })
 }
 
-// until returns how long it takes until all instances but some agree on something.
-func (w *fleet) until(most time.Duration, agreed func(*node) bool, but ...int) time.Duration {
+// timeUntil returns how long it takes until all instances but those in except agree, or limit where
+// they don't.
+func (w *fleet) timeUntil(limit time.Duration, agreed func(*node) bool, except ...int) time.Duration {
 	began := time.Now()
-	for time.Since(began) < most {
-		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return !slices.Contains(but, n.index) && !agreed(n) }) {
+	for time.Since(began) < limit {
+		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return !slices.Contains(except, n.index) && !agreed(n) }) {
 			return time.Since(began)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return most
+	return limit
 }
 
 // datagrams returns how many datagrams and bytes all instances have sent.
--- a/gateway/exchange/join.go
+++ b/gateway/exchange/join.go
@@ -13,87 +13,94 @@
 	"github.com/agateway/agateway/platform"
 )
 
-// Pauses between tries to read the list of instances and to write the own object: they double up to joinMost, since a
-// store that is away would else be asked by each instance again and again.
+// Delays of discovery. The pause between tries to read the list of instances or to write this
+// instance's object doubles up to maxBackoff. Otherwise all instances would call a store that is
+// down again and again.
 const (
-	joinPause = 300 * time.Millisecond
-	joinMost  = 2400 * time.Millisecond
-	// gatherMost is how long an instance that starts waits for the others to answer its hello; they take 3 ms, and one
-	// that starts at the same moment some more. Callers who come back to a fleet that was killed wait for that as well.
-	gatherMost = 25 * time.Millisecond
-	gatherStep = 2 * time.Millisecond
-	// rejoinEvery times the size of the fleet is the time after which an instance reads the list again: one whose hello
-	// was lost is found by it. A fleet of any size so reads the list about once a second.
-	rejoinEvery = time.Second
-	rejoinLeast = 20 * time.Second
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 2400 * time.Millisecond
+	// maxReplyWait is how long an instance that starts waits for the others to reply to its hello.
+	// They take 3 ms, and one that starts at the same moment somewhat longer. Callers that return
+	// to a fleet that was killed wait for that time as well.
+	maxReplyWait      = 25 * time.Millisecond
+	replyPollInterval = 2 * time.Millisecond
+	// relistIntervalPerInstance times the size of the fleet, and at least minRelistInterval, is the
+	// time after which an instance reads the list again. That finds instances whose hello was lost.
+	// A large fleet of any size thus reads the list about once a second.
+	relistIntervalPerInstance = time.Second
+	minRelistInterval         = 20 * time.Second
 )
 
-// join finds the others, and makes this instance known to them.
+// joinFleet finds the other instances, and makes this one known to them.
 //
-// Nobody asks the store for routes and endpoints before: 295 instances that started at once and did not know of each other
-// made 3,000 calls in two seconds, three in four of a calm day.
-func (x *Exchange) join(ctx context.Context) {
-	defer x.meet()
-	own, read := x.find(ctx)
-	if own || !read || x.anyReady() {
-		x.meet()
+// The store is not asked for routes and endpoints before discovery is done. Without that rule, 295
+// instances that started at once and did not know of each other made 3,000 calls in two seconds,
+// three quarters of the calls of 24 hours without faults.
+func (x *Exchange) joinFleet(ctx context.Context) {
+	defer x.finishDiscovery()
+	registered, listed := x.discover(ctx)
+	if registered || !listed || x.anyReady() {
+		x.finishDiscovery()
 	}
-	if !read {
-		x.until(ctx, func(ctx context.Context) bool {
-			own, read = x.find(ctx)
-			return read
+	if !listed {
+		x.retry(ctx, func(ctx context.Context) bool {
+			registered, listed = x.discover(ctx)
+			return listed
 		})
 	}
-	if !own {
-		x.until(ctx, x.register)
-		pause.For(ctx, joinPause+rand.N(joinPause)) // others may have come at the same time
-		x.until(ctx, x.findAgain)
-		x.meet()
+	if !registered {
+		x.retry(ctx, x.registerSelf)
+		pause.For(ctx, minBackoff+rand.N(minBackoff)) // others may have registered at the same time
+		x.retry(ctx, x.rediscover)
+		x.finishDiscovery()
 	}
-	for _, after := range helloAgain {
+	for _, after := range helloRetryDelays {
 		pause.For(ctx, after)
 		x.hello()
-		x.askSomeCrashes()
+		x.askAnyForCrashes()
 	}
 	for ctx.Err() == nil {
 		_, known := x.Instances()
-		every := max(rejoinEvery*time.Duration(known), rejoinLeast)
-		pause.For(ctx, every+rand.N(every))
-		x.until(ctx, x.findAgain)
+		interval := max(relistIntervalPerInstance*time.Duration(known), minRelistInterval)
+		pause.For(ctx, interval+rand.N(interval))
+		x.retry(ctx, x.rediscover)
 	}
 }
 
-// helloAgain is when those are greeted again who were not heard: their answers may be among those that are lost when hundreds
-// start at once.
-var helloAgain = []time.Duration{300 * time.Millisecond, time.Second}
+// helloRetryDelays are the delays before hello is sent again to the instances that were not heard.
+// Their replies may be among those that are lost when hundreds start at once.
+var helloRetryDelays = []time.Duration{300 * time.Millisecond, time.Second}
 
-// meet lets others of this instance ask those that were heard.
-func (x *Exchange) meet() {
-	x.refresh()
-	x.metOnce.Do(func() { close(x.met) })
+// finishDiscovery closes the channel of DiscoveryDone, after the roster has taken in the instances
+// that were heard. It may be called more than once.
+func (x *Exchange) finishDiscovery() {
+	x.refreshRoster()
+	x.discoveryOnce.Do(func() { close(x.discoveryDone) })
 }
 
-// find reads the list of instances, says hello to those that are not heard, and waits for their answers. It tells whether this
-// instance's own entry is there as it should be, and whether the list was to be had.
+// discover reads the list of instances, says hello to those that are not heard, and waits for their
+// replies. It returns whether the list holds this instance's own entry as it should be, and whether
+// the list could be read.
 //
-// The list may be old, which costs a tenth: whoever wrote its entry just before says hello itself.
-func (x *Exchange) find(ctx context.Context) (own, read bool) {
+// The list may be old, which costs a tenth of a current one: an instance that has only just written
+// its entry says hello itself.
+func (x *Exchange) discover(ctx context.Context) (registered, listed bool) {
 	page, err := x.Store.ListStale(ctx, platform.KindInstance)
 	if err != nil {
-		x.Log.WithError(err).Warn("list of instances not read yet")
+		x.Log.WithError(err).Warn("cannot list instances yet; will retry")
 		return false, false
 	}
-	own, others := x.seed(&page)
+	registered, others := x.seedMembers(&page)
 	if others {
 		x.hello()
-		x.gather(ctx)
+		x.awaitReplies(ctx)
 	}
-	return own, true
+	return registered, true
 }
 
-// hello tells all that are not heard that this instance is there, and asks them to say the same.
+// hello sends this instance's entry to all instances that are not heard, and asks them for theirs.
 func (x *Exchange) hello() {
-	r := x.refresh()
+	r := x.refreshRoster()
 	heard := map[string]bool{}
 	for i := range r.alive {
 		heard[r.alive[i].ID] = true
@@ -104,19 +111,19 @@
 			to = append(to, address)
 		}
 	}
-	x.tell(peerv1.GossipKind_GOSSIP_KIND_HELLO, []membership.Member{x.ownEntry()}, to...)
+	x.sendMembers(peerv1.GossipKind_GOSSIP_KIND_HELLO, []membership.Member{x.ownMember()}, to...)
 }
 
-// findAgain finds instances that came since.
-func (x *Exchange) findAgain(ctx context.Context) bool {
-	_, read := x.find(ctx)
-	return read
+// rediscover finds instances that were added since. It returns whether the list could be read.
+func (x *Exchange) rediscover(ctx context.Context) bool {
+	_, listed := x.discover(ctx)
+	return listed
 }
 
-// gather waits until an instance is heard that is ready, or until all that start now should have been heard.
-func (x *Exchange) gather(ctx context.Context) {
-	for until := x.Clock() + gatherMost; x.Clock() < until && !x.anyReady(); {
-		if !pause.For(ctx, gatherStep) {
+// awaitReplies waits until an instance is heard that is ready, at most for maxReplyWait.
+func (x *Exchange) awaitReplies(ctx context.Context) {
+	for deadline := x.Clock() + maxReplyWait; x.Clock() < deadline && !x.anyReady(); {
+		if !pause.For(ctx, replyPollInterval) {
 			return
 		}
 	}
@@ -128,64 +135,65 @@
 	return x.members.node.Any(func(m *membership.Member) bool { return m.Ready && m.State == membership.Alive })
 }
 
-// until tries until something works.
-func (x *Exchange) until(ctx context.Context, try func(context.Context) bool) {
-	backoff := joinPause
+// retry calls try until it returns true or ctx ends, with random pauses that grow.
+func (x *Exchange) retry(ctx context.Context, try func(context.Context) bool) {
+	backoff := minBackoff
 	for ctx.Err() == nil && !try(ctx) {
 		pause.For(ctx, backoff/2+rand.N(backoff))
-		backoff = min(2*backoff, joinMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// entry is this instance's object in the store.
-type entry struct {
+// instanceEntry is an instance's object in the store.
+type instanceEntry struct {
 	Callers    string `json:"callers"`
 	Peers      string `json:"peers"`
 	DataCentre string `json:"data_centre"`
 	Region     string `json:"region"`
 }
 
-func (x *Exchange) register(ctx context.Context) bool {
-	spec, err := json.Marshal(x.entry())
+// registerSelf writes this instance's entry to the store. It returns false where it should be tried
+// again.
+func (x *Exchange) registerSelf(ctx context.Context) bool {
+	spec, err := json.Marshal(x.ownInstanceEntry())
 	if err != nil {
-		x.Log.WithError(err).Error("own entry can't be encoded")
+		x.Log.WithError(err).Error("cannot encode this instance's entry")
 		return true
 	}
 	_, err = x.Store.Create(ctx, platform.KindInstance, x.Self.ID, spec)
-	if platform.IsConflict(err) { // from an earlier start
+	if platform.IsConflict(err) { // left by an earlier start
 		_, err = x.Store.Replace(ctx, platform.KindInstance, x.Self.ID, spec, 0)
 	}
 	if err != nil {
-		x.Log.WithError(err).Warn("own entry not written yet")
+		x.Log.WithError(err).Warn("cannot write this instance's entry yet; will retry")
 	}
 	return err == nil
 }
 
-// entry returns this instance's own entry.
-func (x *Exchange) entry() entry {
-	return entry{x.Self.Callers, x.Self.Peers, x.Self.DataCentre, x.Self.Region}
+func (x *Exchange) ownInstanceEntry() instanceEntry {
+	return instanceEntry{x.Self.Callers, x.Self.Peers, x.Self.DataCentre, x.Self.Region}
 }
 
-// seed takes the entries of all instances. It tells whether this one's is among them as it should be, and whether there
-// are others.
-func (x *Exchange) seed(page *platform.Page) (own, others bool) {
+// seedMembers adds the listed instances to the members. It returns whether this instance's own
+// entry is among them as it should be, and whether there are others.
+func (x *Exchange) seedMembers(page *platform.Page) (registered, others bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, o := range page.Objects {
-		var e entry
+		var e instanceEntry
 		if err := json.Unmarshal(o.Spec, &e); err != nil {
-			x.Log.WithError(err).WithField("peer", o.Name).Warn("entry of an instance can't be read")
+			x.Log.WithError(err).WithField("peer", o.Name).Warn("cannot decode the entry of an instance")
 			continue
 		}
 		if o.Name == x.Self.ID {
-			own = e == x.entry()
+			registered = e == x.ownInstanceEntry()
 			continue
 		}
 		if e.Peers == "" {
 			continue
 		}
 		others = true
-		x.members.node.Seed(x.time(), membership.Member{ID: o.Name, Address: e.Callers, Peer: e.Peers, DataCentre: e.DataCentre, Region: e.Region})
+		x.members.node.Seed(x.membershipTime(), membership.Member{ID: o.Name, Address: e.Callers, Peer: e.Peers, DataCentre: e.DataCentre, Region: e.Region})
 	}
-	return own, others
+	return registered, others
 }
--- a/gateway/exchange/members.go
+++ b/gateway/exchange/members.go
@@ -14,257 +14,271 @@
 	"github.com/agateway/agateway/gateway/peers"
 )
 
-// Finding out who is there. One that dies is pinged by somebody within 0.4 s on average and 1.8 s at the most but for one
-// in a thousand, and left out by all half a second later.
+// Failure detection. An instance that dies is pinged by another one within 0.4 s on average, and
+// within 1.8 s but for one case in a thousand. Half a second later all others leave it out.
 const (
-	// pingEvery is the time between two pings of an instance, and pingAnswer how long an answer may take: a round trip
-	// takes 3 ms, and a small instance may have no processor for 80 ms.
-	pingEvery  = 250 * time.Millisecond
-	pingAnswer = 200 * time.Millisecond
-	// hastyPings is how many are pinged in place of one for hastyFor after any was found lost: where many die at once, who
-	// is left has to find all of them.
-	hastyPings = 4
-	hastyFor   = time.Second
-	// pingsFor is how many others are asked to ping an instance that did not answer.
-	pingsFor = 3
-	// membersMost bounds the entries in one datagram, of some 110 bytes each, to what a packet holds.
-	membersMost = 12
-	// newsRepeats times the logarithm of the fleet is how often an instance passes news on: all were told directly, so
-	// this is for those who lost that datagram. With 300 instances it is told four times by each.
-	newsRepeats = 0.5
-	// repairEvery: each so many messages tell of a member at random, so that what nobody passes on any more is made good
-	// within a minute or two. With each message it would double what is sent in calm times.
-	repairEvery = 4
-	// rosterGap is the least time between two looks at all members: when a whole fleet starts, each of 300 hellos would
-	// else cost as many steps.
-	rosterGap = 20 * time.Millisecond
-	// namesMost bounds the names in one log line about members.
-	namesMost = 8
+	// pingInterval is the time between two pings that an instance sends, and pingTimeout how long
+	// an answer may take: a round trip takes 3 ms, and a small instance may get no processor for 80
+	// ms.
+	pingInterval = 250 * time.Millisecond
+	pingTimeout  = 200 * time.Millisecond
+	// fastPings is how many members are pinged in an interval, in place of one, for
+	// fastPingDuration after a loss was found. When many instances die at once, those that are left
+	// have to find all of them.
+	fastPings        = 4
+	fastPingDuration = time.Second
+	// indirectPings is how many others are asked to ping an instance that did not answer.
+	indirectPings = 3
+	// maxMembersPerDatagram bounds the entries in one datagram, of some 110 bytes each, to what a
+	// packet holds.
+	maxMembersPerDatagram = 12
+	// newsRepeatFactor times the logarithm of the fleet's size is how often an instance passes on
+	// an item of news. All were told directly, so this is for those that lost that datagram. With
+	// 300 instances each passes an item on five times.
+	newsRepeatFactor = 0.5
+	// messagesPerRepair: one message in so many also holds the entry of a random member. News that
+	// is no longer passed on thus reaches everybody within a minute or two. In each message it
+	// would double the traffic of a fleet without changes.
+	messagesPerRepair = 4
+	// minRosterInterval is the least time between two rosters. When a whole fleet starts, each of
+	// 300 hellos would otherwise cost as many steps.
+	minRosterInterval = 20 * time.Millisecond
+	// maxLoggedNames bounds the names in one log line about members.
+	maxLoggedNames = 8
 )
 
 func memberSettings() membership.Settings {
 	s := membership.DefaultSettings()
-	s.Interval, s.Indirect, s.Updates, s.SlowFrom = pingEvery, pingsFor, membersMost, 0
-	s.Repeats, s.Repair, s.Firsthand = newsRepeats, repairEvery, true
+	s.Interval, s.Indirect, s.Updates, s.SlowFrom = pingInterval, indirectPings, maxMembersPerDatagram, 0
+	s.Repeats, s.Repair, s.Firsthand = newsRepeatFactor, messagesPerRepair, true
 	return s
 }
 
-// members is what is known of the other instances, and the pings that are out.
+// members is what is known of the other instances, and the pings in progress.
 type members struct {
-	node    *membership.Node
-	probes  map[uint64]probe
-	number  uint64
-	heardAt time.Duration // when anything was heard from anybody
-	builtAt time.Duration // when the roster was made
-	lostAt  time.Duration // when any member was found lost
-	// came and lost are who was heard or fell silent since that was logged last.
-	came, lost []string
+	node           *membership.Node
+	probes         map[uint64]probe
+	lastPing       uint64
+	lastReceivedAt time.Duration // when the last gossip was received from any instance
+	rosterBuiltAt  time.Duration // when the roster was built
+	lastLossAt     time.Duration // when a member was last found lost
+	// unloggedJoined and unloggedLost are the members that became alive or were lost since the last
+	// log lines about that.
+	unloggedJoined, unloggedLost []string
 }
 
 // probe is a ping that was sent.
 type probe struct {
 	target string
-	at     time.Duration
-	// indirect tells that others were asked to ping the target.
+	sentAt time.Duration
+	// indirect says that others were asked to ping the target.
 	indirect bool
-	// answerTo is who asked for it, under which number; nil for a ping of this instance's own.
-	answerTo     net.Addr
-	answerNumber uint64
+	// relayTo is the instance that asked for this ping, and relayNumber the number that it gave its
+	// own; nil for a ping that this instance sent for itself.
+	relayTo     net.Addr
+	relayNumber uint64
 }
 
-// self returns this instance's own entry.
-func (x *Exchange) self() membership.Member {
+// initialMember returns this instance's own entry at its start.
+func (x *Exchange) initialMember() membership.Member {
 	s := &x.Self
 	return membership.Member{
 		ID: s.ID, DataCentre: s.DataCentre, Region: s.Region, Address: s.Callers, Peer: s.Peers, Link: s.Link, Process: x.process,
-		// A process that starts again goes on above what it told before, unless its clock was set back; it then hears
-		// from the others what they know, and raises it.
+		// A process that starts again continues above the incarnation of the one before, unless its
+		// clock was set back. It then learns the higher incarnation from the others, and raises its
+		// own above that.
 		Incarnation: uint64(time.Now().UnixNano()),
 	}
 }
 
-// time returns the time that core/membership counts in.
-func (x *Exchange) time() time.Time { return time.Unix(0, 0).Add(x.Clock()) }
+// membershipTime returns the reading of Clock as the time that core/membership takes.
+func (x *Exchange) membershipTime() time.Time { return time.Unix(0, 0).Add(x.Clock()) }
 
-// roster returns the fleet as it was believed to be a moment ago.
+// roster returns the fleet as this instance believes it to be. A roster built less than
+// minRosterInterval ago is returned even if members have changed since.
 func (x *Exchange) roster() *roster {
 	x.mu.Lock()
-	early := x.Clock()-x.members.builtAt < rosterGap
+	recent := x.Clock()-x.members.rosterBuiltAt < minRosterInterval
 	x.mu.Unlock()
-	if early {
-		return x.current.Load()
+	if recent {
+		return x.currentRoster.Load()
 	}
-	return x.refresh()
+	return x.refreshRoster()
 }
 
-// refresh returns the fleet as it is believed to be now.
-func (x *Exchange) refresh() *roster {
+// refreshRoster returns the fleet as this instance believes it to be now.
+func (x *Exchange) refreshRoster() *roster {
 	x.mu.Lock()
-	r := x.current.Load()
+	r := x.currentRoster.Load()
 	if r.version == x.members.node.Version() {
 		x.mu.Unlock()
 		return r
 	}
 	r = newRoster(x.Self, x.members.node.Others(), x.members.node.Version())
-	x.members.builtAt = x.Clock()
-	x.current.Store(r)
-	x.Endpoints.SetOwned(r.owned) // in the order of the rosters
+	x.members.rosterBuiltAt = x.Clock()
+	x.currentRoster.Store(r)
+	x.Endpoints.SetOwned(r.owns) // under mu, so that calls come in the order of the rosters
 	x.mu.Unlock()
 	x.metrics.alive.Update(float64(len(r.alive) + 1))
-	x.metrics.known.Update(float64(r.known + 1))
+	x.metrics.known.Update(float64(r.knownCount + 1))
 	return r
 }
 
-// watch pings others until ctx ends.
-func (x *Exchange) watch(ctx context.Context) {
-	pause.Every(ctx, pingEvery, func() {
-		x.ping()
-		x.say()
+// monitorMembers pings the others, and announces and logs changes, until ctx ends.
+func (x *Exchange) monitorMembers(ctx context.Context) {
+	pause.Every(ctx, pingInterval, func() {
+		x.pingMembers()
+		x.broadcastIfChanged()
 		x.roster()
-		x.askWaiting()
-		x.logMoved()
+		x.askWaitingForCrashes()
+		x.logMemberChanges()
 	})
 }
 
-// outgoing is a datagram to be sent once the members are unlocked.
+// outgoing is a gossip message that is sent once mu is released.
 type outgoing struct {
 	to      net.Addr
 	message *peerv1.Gossip
 }
 
-func (x *Exchange) sendAll(out []outgoing) {
+func (x *Exchange) sendGossip(out []outgoing) {
 	for _, o := range out {
 		x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Gossip{Gossip: o.message}}, o.to)
 	}
 }
 
-// ping lets an interval pass: whoever did not answer the last ping is pinged through others or suspected, and the next
-// one is pinged.
-func (x *Exchange) ping() {
-	r := x.current.Load()
+// pingMembers runs one interval of the failure detection. Members that did not answer the last ping
+// are pinged through others or suspected, and the next ones are pinged.
+func (x *Exchange) pingMembers() {
+	r := x.currentRoster.Load()
 	x.mu.Lock()
 	var out []outgoing
 	now := x.Clock()
-	actions := x.unanswered(now)
-	for range x.members.pings(now) {
-		actions = append(actions, x.members.node.Tick(x.time())...)
+	actions := x.handleUnansweredPings(now)
+	for range x.members.pingCount(now) {
+		actions = append(actions, x.members.node.Tick(x.membershipTime())...)
 	}
 	for _, a := range actions {
-		out = append(out, x.carryOut(r, a, now)...)
+		out = append(out, x.datagramsFor(r, a, now)...)
 	}
 	changes := x.members.node.Changes()
 	x.mu.Unlock()
-	x.sendAll(out)
-	x.moved(changes)
-	x.tellSuspects(changes)
+	x.sendGossip(out)
+	x.applyChanges(changes)
+	x.broadcastSuspects(changes)
 }
 
-// pings returns how many members are pinged now.
-func (m *members) pings(now time.Duration) int {
-	if m.lostAt > 0 && now-m.lostAt < hastyFor {
-		return hastyPings
+// pingCount returns how many members are pinged in this interval.
+func (m *members) pingCount(now time.Duration) int {
+	if m.lastLossAt > 0 && now-m.lastLossAt < fastPingDuration {
+		return fastPings
 	}
 	return 1
 }
 
-// unanswered returns what to do about pings that were not answered. An instance that has heard nothing at all since it
-// sent one takes itself for cut off, and the other one for alive.
-func (x *Exchange) unanswered(now time.Duration) []membership.Action {
+// handleUnansweredPings returns the actions for pings that were not answered in time. An instance
+// that has received nothing at all since it sent a ping takes itself to be cut off, and the target
+// to be alive. The caller holds mu.
+func (x *Exchange) handleUnansweredPings(now time.Duration) []membership.Action {
 	var out []membership.Action
 	node := x.members.node
 	for number, p := range x.members.probes {
-		if now-p.at < pingAnswer {
+		if now-p.sentAt < pingTimeout {
 			continue
 		}
 		delete(x.members.probes, number)
 		switch {
-		case p.answerTo != nil:
-		case x.members.heardAt < p.at:
+		case p.relayTo != nil:
+		case x.members.lastReceivedAt < p.sentAt:
 			node.Answered(p.target)
 		case p.indirect:
-			node.MissedIndirect(x.time(), p.target)
+			node.MissedIndirect(x.membershipTime(), p.target)
 		default:
-			out = append(out, node.Missed(x.time(), p.target)...)
+			out = append(out, node.Missed(x.membershipTime(), p.target)...)
 		}
 	}
 	return out
 }
 
-// carryOut returns the datagrams of an action.
-func (x *Exchange) carryOut(r *roster, a membership.Action, now time.Duration) []outgoing {
+// datagramsFor returns the messages that carry out an action. The caller holds mu.
+func (x *Exchange) datagramsFor(r *roster, a membership.Action, now time.Duration) []outgoing {
 	switch a := a.(type) {
 	case membership.Ping:
-		return x.pingOf(r, a.To, peerv1.GossipKind_GOSSIP_KIND_PING, nil, probe{target: a.To.ID, at: now})
+		return x.newPing(r, a.To, peerv1.GossipKind_GOSSIP_KIND_PING, nil, probe{target: a.To.ID, sentAt: now})
 	case membership.IndirectPing:
-		return x.pingOf(r, a.Via, peerv1.GossipKind_GOSSIP_KIND_PING_FOR, peers.EncodeMember(&a.Target), probe{target: a.Target.ID, at: now, indirect: true})
+		return x.newPing(r, a.Via, peerv1.GossipKind_GOSSIP_KIND_PING_FOR, peers.EncodeMember(&a.Target), probe{target: a.Target.ID, sentAt: now, indirect: true})
 	}
 	return nil
 }
 
-func (x *Exchange) pingOf(r *roster, to membership.Member, kind peerv1.GossipKind, target *peerv1.Member, p probe) []outgoing {
+// newPing records a ping and returns its message; nil where the receiver's address is not known.
+func (x *Exchange) newPing(r *roster, to membership.Member, kind peerv1.GossipKind, target *peerv1.Member, p probe) []outgoing {
 	address := r.addresses[to.ID]
 	if address == nil {
 		return nil
 	}
-	x.members.number++
-	x.members.probes[x.members.number] = p
+	x.members.lastPing++
+	x.members.probes[x.members.lastPing] = p
 	return []outgoing{{address, &peerv1.Gossip{
-		Kind: kind, Number: x.members.number, Members: peers.EncodeMembers(x.members.node.Updates(to.ID)), Target: target,
+		Kind: kind, Number: x.members.lastPing, Members: peers.EncodeMembers(x.members.node.Updates(to.ID)), Target: target,
 	}}}
 }
 
-// say tells all others when something of this instance has changed that they should know.
-func (x *Exchange) say() {
-	ready, access := x.Ready(), int(x.Access())
+// broadcastIfChanged sends this instance's entry to all others if its readiness or store access has
+// changed.
+func (x *Exchange) broadcastIfChanged() {
+	ready, access := x.Ready(), int(x.StoreAccess())
 	x.mu.Lock()
-	news := x.members.node.Say(ready, access)
+	changed := x.members.node.Say(ready, access)
 	x.mu.Unlock()
-	if news {
-		x.tellSelf()
+	if changed {
+		x.broadcastSelf()
 	}
 }
 
-// tellSelf sends this instance's own entry to all that are known, also to those that are taken for dead: they may be back.
-func (x *Exchange) tellSelf() {
-	x.tell(tellOnly, []membership.Member{x.ownEntry()}, x.roster().everybody(true)...)
+// broadcastSelf sends this instance's own entry to all known instances. Those believed dead are
+// included: they may be alive again.
+func (x *Exchange) broadcastSelf() {
+	x.sendMembers(noReplyWanted, []membership.Member{x.ownMember()}, x.roster().allAddresses(true)...)
 }
 
-// ownEntry returns what this instance says of itself.
-func (x *Exchange) ownEntry() membership.Member {
+// ownMember returns this instance's own entry as of now.
+func (x *Exchange) ownMember() membership.Member {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.members.node.Self()
 }
 
-// tellOnly is the kind of a message that asks for nothing.
-const tellOnly = peerv1.GossipKind_GOSSIP_KIND_UNSPECIFIED
+// noReplyWanted is the kind of a gossip message that asks for nothing.
+const noReplyWanted = peerv1.GossipKind_GOSSIP_KIND_UNSPECIFIED
 
-// tell sends entries of members, this instance's own before them.
-func (x *Exchange) tell(kind peerv1.GossipKind, news []membership.Member, to ...net.Addr) {
+// sendMembers sends entries of members, of which the first is this instance's own.
+func (x *Exchange) sendMembers(kind peerv1.GossipKind, news []membership.Member, to ...net.Addr) {
 	x.send(&peerv1.Datagram{Body: &peerv1.Datagram_Gossip{Gossip: &peerv1.Gossip{Kind: kind, Members: peers.EncodeMembers(news)}}}, to...)
 }
 
-// tellSuspects tells all others whom this instance found lost. They are told as well, so that they can object.
-func (x *Exchange) tellSuspects(changes []membership.Change) {
+// broadcastSuspects tells all others which members this instance has found lost. The suspects are
+// told as well, so that they can refute it.
+func (x *Exchange) broadcastSuspects(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
 	}
-	news := []membership.Member{x.ownEntry()}
-	r := x.current.Load()
-	to := r.everybody(false)
+	news := []membership.Member{x.ownMember()}
+	r := x.currentRoster.Load()
+	to := r.allAddresses(false)
 	for i := range changes {
-		if m := changes[i].Member; m.State == membership.Suspect && len(news) < membersMost {
+		if m := changes[i].Member; m.State == membership.Suspect && len(news) < maxMembersPerDatagram {
 			news = append(news, m)
-			to = append(to, r.to(m.ID)...)
+			to = append(to, r.addressesOf(m.ID)...)
 		}
 	}
 	if len(news) > 1 {
-		x.tell(tellOnly, news, to...)
+		x.sendMembers(noReplyWanted, news, to...)
 	}
 }
 
-// gossiped takes what another instance believes of members, and answers.
-func (x *Exchange) gossiped(g *peerv1.Gossip, from net.Addr) {
+// receiveGossip takes what another instance believes of members, and replies.
+func (x *Exchange) receiveGossip(g *peerv1.Gossip, from net.Addr) {
 	if len(g.Members) == 0 || g.Members[0].Id == "" {
 		x.metrics.malformed.Inc(1)
 		return
@@ -272,20 +286,20 @@
 	x.mu.Lock()
 	node := x.members.node
 	before := node.Self().Incarnation
-	x.members.heardAt = x.Clock()
-	node.Receive(x.time(), peers.DecodeMembers(g.Members))
+	x.members.lastReceivedAt = x.Clock()
+	node.Receive(x.membershipTime(), peers.DecodeMembers(g.Members))
 	out := x.reply(g, from)
 	refuted := node.Self().Incarnation != before
 	changes := node.Changes()
 	x.mu.Unlock()
-	x.sendAll(out)
-	x.moved(changes)
+	x.sendGossip(out)
+	x.applyChanges(changes)
 	if refuted {
-		x.tellSelf()
+		x.broadcastSelf()
 	}
 }
 
-// reply returns what a gossip message asks for.
+// reply returns the messages that a gossip message asks for. The caller holds mu.
 func (x *Exchange) reply(g *peerv1.Gossip, from net.Addr) []outgoing {
 	node, sender := x.members.node, g.Members[0].Id
 	switch g.Kind {
@@ -296,80 +310,83 @@
 		return []outgoing{{from, &peerv1.Gossip{Members: []*peerv1.Member{peers.EncodeMember(&self)}}}}
 	case peerv1.GossipKind_GOSSIP_KIND_PING_FOR:
 		target := peers.DecodeMember(g.Target)
-		return x.pingOf(x.current.Load(), target, peerv1.GossipKind_GOSSIP_KIND_PING, nil,
-			probe{target: target.ID, at: x.Clock(), answerTo: from, answerNumber: g.Number})
+		return x.newPing(x.currentRoster.Load(), target, peerv1.GossipKind_GOSSIP_KIND_PING, nil,
+			probe{target: target.ID, sentAt: x.Clock(), relayTo: from, relayNumber: g.Number})
 	case peerv1.GossipKind_GOSSIP_KIND_ACK:
-		return x.acknowledged(g)
+		return x.receiveAck(g)
 	}
 	return nil
 }
 
-// acknowledged takes the answer to a ping, and passes it on to whoever asked for the ping.
-func (x *Exchange) acknowledged(g *peerv1.Gossip) []outgoing {
-	p, out := x.members.probes[g.Number]
-	if !out {
+// receiveAck takes the answer to a ping. It passes the answer on if another instance asked for the
+// ping. The caller holds mu.
+func (x *Exchange) receiveAck(g *peerv1.Gossip) []outgoing {
+	p, pending := x.members.probes[g.Number]
+	if !pending {
 		return nil
 	}
 	delete(x.members.probes, g.Number)
-	if p.answerTo == nil {
+	if p.relayTo == nil {
 		x.members.node.Answered(p.target)
 		return nil
 	}
 	self := x.members.node.Self()
-	return []outgoing{{p.answerTo, &peerv1.Gossip{
-		Kind: peerv1.GossipKind_GOSSIP_KIND_ACK, Number: p.answerNumber, Members: append([]*peerv1.Member{peers.EncodeMember(&self)}, g.Members...),
+	return []outgoing{{p.relayTo, &peerv1.Gossip{
+		Kind: peerv1.GossipKind_GOSSIP_KIND_ACK, Number: p.relayNumber, Members: append([]*peerv1.Member{peers.EncodeMember(&self)}, g.Members...),
 	}}}
 }
 
-// moved notes which members came or were lost, and forgets what the lost ones told.
-func (x *Exchange) moved(changes []membership.Change) {
+// applyChanges records which members became alive or were lost. It drops what the lost ones
+// announced, and asks those that became alive for stopped requests.
+func (x *Exchange) applyChanges(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
 	}
-	var came, lost []string
+	var joined, lost []string
 	for i := range changes {
 		c := &changes[i]
 		switch {
 		case c.Member.State == membership.Alive && c.Before != membership.Alive:
-			came = append(came, c.Member.ID)
+			joined = append(joined, c.Member.ID)
 		case c.Member.State != membership.Alive && c.Before == membership.Alive:
 			lost = append(lost, c.Member.ID)
 		}
 	}
 	x.mu.Lock()
-	x.members.came, x.members.lost = append(x.members.came, came...), append(x.members.lost, lost...)
+	x.members.unloggedJoined, x.members.unloggedLost = append(x.members.unloggedJoined, joined...), append(x.members.unloggedLost, lost...)
 	if len(lost) > 0 {
-		x.members.lostAt = x.Clock()
+		x.members.lastLossAt = x.Clock()
 	}
 	x.mu.Unlock()
 	for _, id := range lost {
-		x.forget(id)
+		x.dropAnnouncement(id)
 		x.Crashes.Forget(id)
 	}
-	x.askCrashes(came)
+	x.askForCrashes(joined)
 	x.metrics.suspected.Inc(int64(len(lost)))
 }
 
-// logMoved logs who was heard and who fell silent since the last call: one line for many, such as when a fleet starts.
-func (x *Exchange) logMoved() {
+// logMemberChanges logs which members became alive or were lost since the last call. Many members
+// share a line, such as when a fleet starts.
+func (x *Exchange) logMemberChanges() {
 	x.mu.Lock()
-	came, lost := x.members.came, x.members.lost
-	x.members.came, x.members.lost = nil, nil
+	joined, lost := x.members.unloggedJoined, x.members.unloggedLost
+	x.members.unloggedJoined, x.members.unloggedLost = nil, nil
 	x.mu.Unlock()
-	for what, ids := range map[string][]string{"instances heard": came, "instances silent": lost} {
+	for what, ids := range map[string][]string{"instances joined": joined, "instances lost": lost} {
 		if len(ids) > 0 {
-			x.Log.WithFields(logrus.Fields{"count": len(ids), "instances": ids[:min(len(ids), namesMost)]}).Info(what)
+			x.Log.WithFields(logrus.Fields{"count": len(ids), "instances": ids[:min(len(ids), maxLoggedNames)]}).Info(what)
 		}
 	}
 }
 
-// forget drops what an instance has told.
-func (x *Exchange) forget(id string) {
-	x.heardMu.Lock()
-	_, known := x.heard[id]
-	delete(x.heard, id)
-	x.heardMu.Unlock()
+// dropAnnouncement drops the last announcement of an instance, and its report.
+func (x *Exchange) dropAnnouncement(id string) {
+	x.announcementsMu.Lock()
+	_, known := x.announcements[id]
+	delete(x.announcements, id)
+	x.announcementsMu.Unlock()
 	if known {
-		x.Endpoints.Heard(id, routing.PeerReport{}, nil)
+		x.Endpoints.SetPeerReport(id, routing.PeerReport{}, nil)
 	}
 }
--- a/gateway/exchange/members_test.go
+++ b/gateway/exchange/members_test.go
@@ -9,40 +9,42 @@
 	"gotest.tools/v3/assert"
 )
 
-// sizes of the fleets in the tests below: today's small ones, the large ones, and the target's with room.
-func sizes() []int {
+// fleetSizes returns the sizes of the fleets in the test below: a full mesh, large fleets, and one
+// with room above the largest that is planned for. The race detector makes the larger ones too
+// slow.
+func fleetSizes() []int {
 	if raceEnabled {
 		return []int{30, 100}
 	}
 	return []int{30, 100, 300, 1000}
 }
 
-// TestWhoIsAlive: whatever the size of the fleet, a death is known to all within 3 s and a start within 1 s, and what an
-// instance sends in calm times does not grow.
+// TestWhoIsAlive: whatever the size of the fleet, all instances notice a death within 3 s and a
+// start within 1 s. What an instance sends without faults does not grow with the fleet.
 func TestWhoIsAlive(t *testing.T) {
-	for _, size := range sizes() {
+	for _, size := range fleetSizes() {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runFleet(t, size, true, func(w *fleet) {
-				all := func(n *node) bool { return len(n.Others()) == size-1 }
-				assert.Equal(w, w.until(time.Second, all), time.Duration(0), "all know all after the start")
-				time.Sleep(30 * time.Second) // what is passed on of the start is over
+				knowsAll := func(n *node) bool { return len(n.Others()) == size-1 }
+				assert.Equal(w, w.timeUntil(time.Second, knowsAll), time.Duration(0), "all know all others after the start")
+				time.Sleep(30 * time.Second) // news of the start is no longer passed on
 				count, bytes := w.datagrams()
-				const calm = 10 * time.Second
-				time.Sleep(calm)
+				const quietTime = 10 * time.Second
+				time.Sleep(quietTime)
 				count2, bytes2 := w.datagrams()
-				perSecond := float64(size) * calm.Seconds()
+				perSecond := float64(size) * quietTime.Seconds()
 				w.Logf("%d instances: %.1f datagrams and %.0f bytes a second each", size, float64(count2-count)/perSecond, float64(bytes2-bytes)/perSecond)
-				if size > directMost {
+				if size > maxFullMeshPeers {
 					assert.Assert(w, float64(bytes2-bytes)/perSecond < 2000)
 				}
 				for _, victim := range []int{0, size / 2, size - 1} {
-					id := w.self(victim).ID
+					id := w.peer(victim).ID
 					w.kill(victim)
-					took := w.until(10*time.Second, func(n *node) bool { return !n.knows(id) }, victim)
+					took := w.timeUntil(10*time.Second, func(n *node) bool { return !n.knows(id) }, victim)
 					w.Logf("%d instances: a death known to all after %v", size, took)
 					assert.Assert(w, took <= 3*time.Second, "%v", took)
 					w.start(victim)
-					took = w.until(10*time.Second, func(n *node) bool { return n.knows(id) || n.index == victim })
+					took = w.timeUntil(10*time.Second, func(n *node) bool { return n.knows(id) || n.index == victim })
 					w.Logf("%d instances: a start known to all after %v", size, took)
 					assert.Assert(w, took <= time.Second, "%v", took)
 				}
@@ -51,31 +53,32 @@
 	}
 }
 
-// TestHalfOfAFleetDies: the pattern is a kill of many at the same moment, those that sum up among them. All are left out
-// by all others within 3 s, and back within 1 s of their start.
-func TestHalfOfAFleetDies(t *testing.T) {
+// TestHalfOfFleetIsKilled: many instances are killed at the same moment, aggregators among them.
+// All others leave them out within 3 s, and know them again within 1 s of their start.
+func TestHalfOfFleetIsKilled(t *testing.T) {
 	const size = 100
 	runFleet(t, size, true, func(w *fleet) {
-		var dead []int
+		var killed []int
 		for i := range size {
 			if i%2 == 0 {
-				dead = append(dead, i)
+				killed = append(killed, i)
 				w.kill(i)
 			}
 		}
-		left := func(n *node) bool { return len(n.Others()) == size/2-1 }
-		took := w.until(10*time.Second, left, dead...)
+		knowsSurvivors := func(n *node) bool { return len(n.Others()) == size/2-1 }
+		took := w.timeUntil(10*time.Second, knowsSurvivors, killed...)
 		assert.Assert(w, took <= 3*time.Second, "%v", took)
-		for _, i := range dead {
+		for _, i := range killed {
 			w.start(i)
 		}
-		took = w.until(10*time.Second, func(n *node) bool { return len(n.Others()) == size-1 })
+		took = w.timeUntil(10*time.Second, func(n *node) bool { return len(n.Others()) == size-1 })
 		assert.Assert(w, took <= time.Second, "%v", took)
 	})
 }
 
-// TestFirstStartOfAFleet: nobody is in the store's list. All find each other, each writes once.
-func TestFirstStartOfAFleet(t *testing.T) {
+// TestFirstStartWithEmptyList: no instance is in the store's list. All find each other, and each
+// writes its entry once.
+func TestFirstStartWithEmptyList(t *testing.T) {
 	const size = 60
 	runFleet(t, size, false, func(w *fleet) {
 		for _, n := range w.nodes {
@@ -85,9 +88,10 @@
 	})
 }
 
-// TestWhoeverIsCutOffSuspectsNobody: an instance that hears nothing goes on with what it knows, and when it is heard
-// again nobody else is doubted.
-func TestWhoeverIsCutOffSuspectsNobody(t *testing.T) {
+// TestCutOffInstanceSuspectsNobody: an instance that receives nothing must not take all others for
+// lost. It keeps what it knows, and within 5 s of the end of the partition all instances know each
+// other again.
+func TestCutOffInstanceSuspectsNobody(t *testing.T) {
 	const size, cut = 80, 7
 	runFleet(t, size, true, func(w *fleet) {
 		w.net.SetCut(func(a, b string) bool { return (a == fmt.Sprint("f", cut)) != (b == fmt.Sprint("f", cut)) })
@@ -95,28 +99,30 @@
 		assert.Equal(w, len(w.nodes[cut].Others()), size-1)
 		for _, n := range w.nodes {
 			if n.index != cut {
-				assert.Assert(w, !n.knows(w.self(cut).ID))
+				assert.Assert(w, !n.knows(w.peer(cut).ID))
 			}
 		}
 		w.net.SetCut(func(string, string) bool { return false })
-		took := w.until(30*time.Second, func(n *node) bool { return len(n.Others()) == size-1 })
+		took := w.timeUntil(30*time.Second, func(n *node) bool { return len(n.Others()) == size-1 })
 		assert.Assert(w, took <= 5*time.Second, "%v", took)
 	})
 }
 
-// TestLeavingIsKnownAtOnce: no caller is sent to an instance that has said that it stops.
-func TestLeavingIsKnownAtOnce(t *testing.T) {
+// TestNotReadyIsKnownAtOnce: callers must not be sent to an instance that has announced that it
+// stops.
+func TestNotReadyIsKnownAtOnce(t *testing.T) {
 	const size = 80
 	runFleet(t, size, true, func(w *fleet) {
 		w.nodes[3].ready.Store(false)
-		w.nodes[3].Now()
-		took := w.until(time.Second, func(n *node) bool { return !slices.Contains(n.Entry("hall-3", "south"), w.self(3).Callers) })
+		w.nodes[3].PublishStatus()
+		took := w.timeUntil(time.Second, func(n *node) bool { return !slices.Contains(n.EntryAddresses("hall-3", "south"), w.peer(3).Callers) })
 		assert.Assert(w, took <= 50*time.Millisecond, "%v", took)
 	})
 }
 
-// TestClockSetBack: an instance that starts again while its clock is behind is believed what it says.
-func TestClockSetBack(t *testing.T) {
+// TestRestartWithClockSetBack: an instance restarts while its clock is behind, so its incarnation
+// is lower than the known one. What it then says of itself must still be accepted.
+func TestRestartWithClockSetBack(t *testing.T) {
 	const size = 8
 	runFleet(t, size, true, func(w *fleet) {
 		w.kill(2)
@@ -126,8 +132,8 @@
 		n.Exchange.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		n.ready.Store(false)
-		n.Now()
-		took := w.until(time.Second, func(n *node) bool { return !slices.Contains(n.Entry("hall-2", "south"), w.self(2).Callers) })
+		n.PublishStatus()
+		took := w.timeUntil(time.Second, func(n *node) bool { return !slices.Contains(n.EntryAddresses("hall-2", "south"), w.peer(2).Callers) })
 		assert.Assert(w, took <= 300*time.Millisecond, "%v", took)
 	})
 }
--- a/gateway/exchange/race_test.go
+++ b/gateway/exchange/race_test.go
@@ -2,5 +2,5 @@
 
 package exchange
 
-// raceEnabled tells that the race detector runs: fleets of hundreds then take minutes.
+// raceEnabled says that the race detector is on. Fleets of hundreds of instances then take minutes.
 const raceEnabled = true
--- a/gateway/exchange/rollouts.go
+++ b/gateway/exchange/rollouts.go
@@ -10,28 +10,30 @@
 	"github.com/agateway/agateway/gateway/rollouts"
 )
 
-// Rollouts is what this instance counts of services that move to other builds.
+// Rollouts counts the outcomes of requests to services that move to other builds.
 type Rollouts interface {
-	// Reports returns what this instance counted of orders in progress, Summaries what those that report to it counted as well.
+	// Reports returns what this instance has counted for orders in progress. Summaries adds what
+	// the instances that report to it have counted.
 	Reports() []rollout.Report
 	Summaries() []rollout.Report
-	// Apply takes what another instance, or a data centre, told.
+	// Apply takes the reports of another instance or of a data centre.
 	Apply(from rollout.Source, reports []rollout.Report)
 }
 
-// rolloutsEvery is the time between two reports. One passes two other instances in a large fleet, so it is known to all within twice
-// that.
-const rolloutsEvery = 250 * time.Millisecond
+// rolloutReportInterval is the time between two reports. In a large fleet a report passes through
+// two other instances, so all know it within twice that time.
+const rolloutReportInterval = 250 * time.Millisecond
 
-// reportRollouts tells what is counted of orders in progress until ctx ends.
+// reportRollouts reports what was counted for orders in progress until ctx ends.
 func (x *Exchange) reportRollouts(ctx context.Context) {
 	if x.Rollouts != nil {
-		pause.Every(ctx, rolloutsEvery, x.TellRollouts)
+		pause.Every(ctx, rolloutReportInterval, x.TellRollouts)
 	}
 }
 
-// TellRollouts tells what is counted of orders in progress: all others in a small fleet, in a large one those that sum up. A decision
-// goes to all.
+// TellRollouts reports what was counted for orders in progress: in a full mesh to all others,
+// otherwise to the aggregators of the data centre. An aggregator sends its summaries to the
+// instances of its data centre and to the aggregators of the others.
 func (x *Exchange) TellRollouts() {
 	reports := x.Rollouts.Reports()
 	if len(reports) == 0 {
@@ -39,62 +41,63 @@
 	}
 	r := x.roster()
 	switch {
-	case r.direct():
+	case r.fullMesh():
 		x.sendRollouts(false, reports, r, true)
-	case r.sumsUp():
+	case r.isAggregator():
 		x.sendRollouts(true, x.Rollouts.Summaries(), r, true)
 	default:
 		x.sendRollouts(false, reports, r, false)
 	}
 }
 
-// TellDecision sends a decision to all others at once.
+// TellDecision sends the decisions of this instance to all others at once.
 func (x *Exchange) TellDecision() {
 	x.TellRollouts()
 	r := x.roster()
-	if r.direct() || r.sumsUp() {
+	if r.fullMesh() || r.isAggregator() {
 		return
 	}
 	decided := x.Rollouts.Reports()
 	for i := range decided {
-		decided[i].Tally = nil // only what is decided, as of an instance that has counted nothing
+		decided[i].Tally = nil // the decision only, as the report of an instance that has counted nothing
 	}
-	x.send(x.rolloutsDatagram(false, decided), r.everybody(false)...)
+	x.send(x.rolloutsDatagram(false, decided), r.allAddresses(false)...)
 }
 
-func (x *Exchange) sendRollouts(sum bool, reports []rollout.Report, r *roster, all bool) {
-	d := x.rolloutsDatagram(sum, reports)
+func (x *Exchange) sendRollouts(aggregated bool, reports []rollout.Report, r *roster, broadcast bool) {
+	d := x.rolloutsDatagram(aggregated, reports)
 	switch {
-	case !all:
-		x.send(d, r.to(r.summers[x.Self.DataCentre]...)...)
-	case !sum:
-		x.send(d, r.everybody(false)...)
+	case !broadcast:
+		x.send(d, r.addressesOf(r.aggregators[x.Self.DataCentre]...)...)
+	case !aggregated:
+		x.send(d, r.allAddresses(false)...)
 	default:
-		to := r.inDataCentre(x.Self.DataCentre)
-		for dc, ids := range r.summers {
+		to := r.addressesIn(x.Self.DataCentre)
+		for dc, ids := range r.aggregators {
 			if dc != x.Self.DataCentre {
-				to = append(to, r.to(ids...)...)
+				to = append(to, r.addressesOf(ids...)...)
 			}
 		}
 		x.send(d, to...)
 	}
 }
 
-func (x *Exchange) rolloutsDatagram(sum bool, reports []rollout.Report) *peerv1.Datagram {
+func (x *Exchange) rolloutsDatagram(aggregated bool, reports []rollout.Report) *peerv1.Datagram {
 	return &peerv1.Datagram{Body: &peerv1.Datagram_Rollouts{Rollouts: &peerv1.Rollouts{
-		Instance: x.Self.ID, DataCentre: x.Self.DataCentre, Process: x.process, Sum: sum, Reports: rollouts.EncodeReports(reports),
+		Instance: x.Self.ID, DataCentre: x.Self.DataCentre, Process: x.process, Sum: aggregated, Reports: rollouts.EncodeReports(reports),
 	}}}
 }
 
-// toldRollouts takes what another instance tells. The sums of another data centre are passed on by the one that sums up here.
-func (x *Exchange) toldRollouts(d *peerv1.Rollouts, raw []byte) {
+// receiveRollouts takes the reports of another instance. The aggregator of this data centre passes
+// on the summaries of other data centres to the instances of its own.
+func (x *Exchange) receiveRollouts(d *peerv1.Rollouts, raw []byte) {
 	if d.Instance == "" || d.DataCentre == "" || d.Instance == x.Self.ID || x.Rollouts == nil {
 		return
 	}
 	from := rollout.Source{Name: d.Instance, DataCentre: d.DataCentre, Process: d.Process, Sum: d.Sum}
 	x.Rollouts.Apply(from, rollouts.DecodeReports(d.Reports))
-	if r := x.roster(); d.Sum && d.DataCentre != x.Self.DataCentre && r.sumsUp() {
-		x.sendRaw(raw, r.inDataCentre(x.Self.DataCentre)...)
+	if r := x.roster(); d.Sum && d.DataCentre != x.Self.DataCentre && r.isAggregator() {
+		x.sendRaw(raw, r.addressesIn(x.Self.DataCentre)...)
 	}
 }
 
--- a/gateway/front/drain.go
+++ b/gateway/front/drain.go
@@ -30,7 +30,7 @@
 	log.WithField("open", f.forwarder.Open()).Info("stopping")
 	f.draining.Store(true)
 	f.forwarder.Drain(until)
-	f.exchange.Now()
+	f.exchange.PublishStatus()
 	f.awaitQuiet(began, until)
 	f.forwarder.Refuse() // before the last look at what is open
 	f.awaitNone(until)
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -182,7 +182,7 @@
 	f.buildRollouts(following)
 	f.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: f.store,
-		Met:       func() <-chan struct{} { return f.exchange.Met() },
+		Met:       func() <-chan struct{} { return f.exchange.DiscoveryDone() },
 		Instances: func() (int, int) { return f.exchange.Instances() },
 		Tell:      func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
 		Stopped:   func(r crashers.Request) { f.forwarder.Stopped(r) },
@@ -193,7 +193,7 @@
 			ID: s.Instance.ID, Callers: s.Listen.Callers, Peers: s.Listen.Peers, DataCentre: s.Instance.DataCentre, Region: s.Instance.Region,
 			Link: int(s.Process.Link),
 		},
-		Conn: l.peers, Store: f.store, Ready: f.ready, Access: f.access, Endpoints: &shared{f}, Crashes: f.crashes, Rollouts: f.toldRollouts(), Uses: f.uses, Clock: f.env.Clock, Log: t.Log, Scope: t.Scope,
+		Conn: l.peers, Store: f.store, Ready: f.ready, StoreAccess: f.access, Endpoints: &shared{f}, Crashes: f.crashes, Rollouts: f.toldRollouts(), ServiceCounts: f.uses, Clock: f.env.Clock, Log: t.Log, Scope: t.Scope,
 	})
 	f.relay = relay.New(relay.Options{
 		Settings: f.sourceSettings(), Store: f.store, Mirror: f.mirror, Others: f.exchange.Others,
@@ -232,7 +232,7 @@
 // are.
 func (f *Front) follow(ctx context.Context) {
 	select {
-	case <-f.exchange.Met():
+	case <-f.exchange.DiscoveryDone():
 	case <-ctx.Done():
 		return
 	}
--- a/gateway/front/serve.go
+++ b/gateway/front/serve.go
@@ -65,7 +65,7 @@
 
 func (f *Front) answerResolve(w http.ResponseWriter, r *http.Request) {
 	place := platform.ReadPlace(r.URL.Query())
-	addresses := f.exchange.Entry(place.DataCentre, place.Region)
+	addresses := f.exchange.EntryAddresses(place.DataCentre, place.Region)
 	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/gateway/front/shared.go
+++ b/gateway/front/shared.go
@@ -13,7 +13,7 @@
 // [exchange.Endpoints].
 type shared struct{ f *Front }
 
-func (s *shared) Told() routing.PeerReport {
+func (s *shared) OwnReport() routing.PeerReport {
 	f := s.f
 	if !f.settings.Mechanisms.Announcements {
 		return routing.PeerReport{}
@@ -23,7 +23,7 @@
 	return t
 }
 
-func (s *shared) Heard(instance string, t routing.PeerReport, uses map[string]limits.Counted) {
+func (s *shared) SetPeerReport(instance string, t routing.PeerReport, uses map[string]limits.Counted) {
 	f := s.f
 	f.placement.SetPeer(instance, t)
 	if len(t.Ended) > 0 {
@@ -32,7 +32,7 @@
 	f.forwarder.HeardUses(instance, uses)
 }
 
-func (s *shared) Counted(instance string, uses map[string]limits.Counted) {
+func (s *shared) SetPeerCounts(instance string, uses map[string]limits.Counted) {
 	s.f.forwarder.HeardUses(instance, uses)
 }
 
@@ -46,7 +46,9 @@
 	return s.f.placement.Claim(endpoint, peer, c)
 }
 
-func (s *shared) Learn(summary *routing.Summary, prompt uint64) { s.f.placement.Learn(summary, prompt) }
+func (s *shared) ApplySummary(summary *routing.Summary, prompt uint64) {
+	s.f.placement.Learn(summary, prompt)
+}
 
 // others returns the other instances, as forwarding sees them.
 func (f *Front) others() forward.Others {
