--- a/gateway/peers/member.go
+++ b/gateway/peers/member.go
@@ -5,7 +5,7 @@
 	"github.com/agateway/agateway/core/membership"
 )
 
-// EncodeMember returns a member as it is sent to other instances.
+// EncodeMember returns a member in the form in which instances send it to each other.
 func EncodeMember(m *membership.Member) *peerv1.Member {
 	return &peerv1.Member{
 		Id: m.ID, Address: m.Address, PeerAddress: m.Peer, DataCentre: m.DataCentre, Region: m.Region, Link: uint32(m.Link),
@@ -14,7 +14,7 @@
 	}
 }
 
-// DecodeMember returns a member that another instance sent; one without a state is alive.
+// DecodeMember returns a member that another instance sent. One without a state is alive.
 func DecodeMember(m *peerv1.Member) membership.Member {
 	state := membership.Alive
 	if m.GetState() > peerv1.MemberState_MEMBER_STATE_UNSPECIFIED {
@@ -27,7 +27,7 @@
 	}
 }
 
-// EncodeMembers is [EncodeMember] for several.
+// EncodeMembers applies [EncodeMember] to each member.
 func EncodeMembers(members []membership.Member) []*peerv1.Member {
 	out := make([]*peerv1.Member, len(members))
 	for i := range members {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// DecodeMembers is [DecodeMember] for several.
+// DecodeMembers applies [DecodeMember] to each member.
 func DecodeMembers(members []*peerv1.Member) []membership.Member {
 	out := make([]membership.Member, len(members))
 	for i, m := range members {
--- a/gateway/peers/peers.go
+++ b/gateway/peers/peers.go
@@ -1,8 +1,8 @@
-// Package peers reaches the other instances over connect-go.
+// Package peers calls other instances over connect-go, with a key that all instances share.
 //
-// Failure modes: a peer that is dead, frozen or cut off answers nothing within the
-// timeout ([ErrUnreachable]). An open connection may have gone silent, so after any such
-// failure the next call uses a new one.
+// Failure modes: a peer that is dead, frozen or cut off does not answer within the timeout
+// ([ErrUnreachable]), or can't be connected to ([ErrNotSent]). An open connection may have gone
+// silent, so the next call after such a failure uses a new one.
 package peers
 
 import (
@@ -21,53 +21,55 @@
 	"github.com/agateway/agateway/gateway/network"
 )
 
-// Errors of this layer.
+// Errors of [Call].
 var (
 	namespace = errorx.NewNamespace("peers")
-	// ErrUnreachable: no answer; whether the peer did what was asked is not known.
+	// ErrUnreachable means that no answer came. It is not known whether the peer did what was
+	// asked.
 	ErrUnreachable = namespace.NewType("unreachable", errorx.Temporary())
-	// ErrNotSent: the peer was not reached at all, so it did nothing.
+	// ErrNotSent means that the peer could not be connected to, so it did nothing.
 	ErrNotSent = namespace.NewType("not_sent", errorx.Temporary())
 )
 
 // Pool holds a client for each peer address. It is safe for concurrent use.
 type Pool struct {
-	key     string
-	timeout time.Duration
-	mu      sync.Mutex
-	clients map[string]*peer
-	network network.Network
+	key            string
+	connectTimeout time.Duration
+	mu             sync.Mutex
+	clients        map[string]*peerClient
+	network        network.Network
 }
 
-type peer struct {
+type peerClient struct {
 	transport *http.Transport
 	client    peerv1connect.PeerServiceClient
 }
 
-// NewPool returns a pool whose calls show key and take timeout at the most to connect.
-func NewPool(key string, timeout time.Duration, n network.Network) *Pool {
-	return &Pool{key: key, timeout: timeout, network: n, clients: map[string]*peer{}}
+// NewPool returns a pool whose calls authenticate with key. Connecting takes at most
+// connectTimeout.
+func NewPool(key string, connectTimeout time.Duration, n network.Network) *Pool {
+	return &Pool{key: key, connectTimeout: connectTimeout, network: n, clients: map[string]*peerClient{}}
 }
 
-func (p *Pool) get(address string) *peer {
+func (p *Pool) clientFor(address string) *peerClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.clients[address]; c != nil {
 		return c
 	}
 	t := &http.Transport{
-		DialContext:         network.Within(p.network, p.timeout),
+		DialContext:         network.Within(p.network, p.connectTimeout),
 		MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, Protocols: new(http.Protocols),
 	}
-	t.Protocols.SetUnencryptedHTTP2(true) // compressed headers: heartbeats are small
-	c := &peer{transport: t, client: peerv1connect.NewPeerServiceClient(
+	t.Protocols.SetUnencryptedHTTP2(true) // HTTP/2 compresses headers, which are large next to a heartbeat
+	c := &peerClient{transport: t, client: peerv1connect.NewPeerServiceClient(
 		&http.Client{Transport: t}, "http://"+address,
-		connect.WithInterceptors(bearer(p.key)))}
+		connect.WithInterceptors(bearerInterceptor(p.key)))}
 	p.clients[address] = c
 	return c
 }
 
-func bearer(key string) connect.UnaryInterceptorFunc {
+func bearerInterceptor(key string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 			r.Header().Set("Authorization", "Bearer "+key)
@@ -76,23 +78,26 @@
 	}
 }
 
-// Call calls a peer and turns its errors into those of this layer. Errors that the peer
-// itself answered with are returned as they are.
+// Call calls a method of the peer at address, and waits at most timeout for the answer. A failed
+// connection is returned as [ErrNotSent], and a missing answer as [ErrUnreachable]. Other errors
+// that the peer answered with are returned unchanged.
 func Call[Req, Resp any](ctx context.Context, p *Pool, address string, timeout time.Duration,
 	method func(peerv1connect.PeerServiceClient, context.Context, *connect.Request[Req]) (*connect.Response[Resp], error),
 	req *Req,
 ) (*Resp, error) {
-	c := p.get(address)
+	c := p.clientFor(address)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	resp, err := method(c.client, ctx, connect.NewRequest(req))
 	if err == nil {
 		return resp.Msg, nil
 	}
-	return nil, p.failed(address, c, err)
+	return nil, p.callError(address, c, err)
 }
 
-func (p *Pool) failed(address string, c *peer, err error) error {
+// callError converts the error of a call, and drops the client unless the peer itself answered with
+// the error.
+func (p *Pool) callError(address string, c *peerClient, err error) error {
 	if code := connect.CodeOf(err); connect.IsWireError(err) && code != connect.CodeUnavailable && code != connect.CodeDeadlineExceeded {
 		return err
 	}
@@ -109,7 +114,8 @@
 	return ErrUnreachable.Wrap(err, "no answer from %s", address)
 }
 
-// Authorize returns a handler that lets only holders of the key through.
+// Authorize returns a handler that passes requests with the key to next, and answers others with
+// status 401.
 func Authorize(key string, next http.Handler) http.Handler {
 	want := []byte("Bearer " + key)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/gateway/peers/peers_bench_test.go
+++ b/gateway/peers/peers_bench_test.go
@@ -16,49 +16,50 @@
 	"github.com/agateway/agateway/gateway/peers"
 )
 
-type answering struct {
+// heartbeatHandler answers heartbeats with empty responses.
+type heartbeatHandler struct {
 	peerv1connect.UnimplementedPeerServiceHandler
 }
 
-func (answering) Heartbeat(context.Context, *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error) {
+func (heartbeatHandler) Heartbeat(context.Context, *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error) {
 	return connect.NewResponse(&peerv1.HeartbeatResponse{}), nil
 }
 
-// counting is TCP that counts the bytes of its connections, both ways.
-type counting struct {
+// countingNetwork is TCP that counts the bytes of its connections in both directions.
+type countingNetwork struct {
 	network.TCP
 	bytes atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *counting) Dial(ctx context.Context, nw, address string) (net.Conn, error) {
+func (c *countingNetwork) Dial(ctx context.Context, nw, address string) (net.Conn, error) {
 	conn, err := c.TCP.Dial(ctx, nw, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, &c.bytes}, nil
+	return &countingConn{conn, &c.bytes}, nil
 }
 
-// BenchmarkCall measures one call between instances without its message: processor time at
-// both ends, and bytes on the connection.
+// BenchmarkCall measures one call between instances with an empty message: processor time at both
+// ends, and bytes on the connection.
 func BenchmarkCall(b *testing.B) {
-	path, handler := peerv1connect.NewPeerServiceHandler(answering{})
+	path, handler := peerv1connect.NewPeerServiceHandler(heartbeatHandler{})
 	mux := http.NewServeMux()
 	mux.Handle(path, handler)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,7 +72,7 @@
 	s := &http.Server{Handler: peers.Authorize("0123456789abcdef", mux), Protocols: p}
 	go func() { _ = s.Serve(l) }()
 	defer s.Close()
-	n := &counting{}
+	n := &countingNetwork{}
 	pool := peers.NewPool("0123456789abcdef", time.Second, n)
 	call := func() {
 		_, err := peers.Call(context.Background(), pool, l.Addr().String(), time.Second, peerv1connect.PeerServiceClient.Heartbeat, &peerv1.HeartbeatRequest{})
