--- a/gateway/front/drain.go
+++ b/gateway/front/drain.go
@@ -33,7 +33,7 @@
 	log.WithField("open", f.forwarder.OpenRequests()).Info("stopping")
 	f.draining.Store(true)
 	f.forwarder.Drain(until)
-	f.exchange.Now()
+	f.exchange.PublishStatus()
 	f.awaitIdle(began, until)
 	f.forwarder.RefuseRequests() // no request may start after the last check for open ones
 	f.awaitNoRequests(until)
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -187,7 +187,7 @@
 	f.buildRollouts(followOptions)
 	f.crashes = crashes.New(crashes.Options{
 		Settings: crashers.DefaultSettings(), Self: s.Instance.ID, Store: f.store,
-		Discovered: func() <-chan struct{} { return f.exchange.Met() },
+		Discovered: func() <-chan struct{} { return f.exchange.DiscoveryDone() },
 		Instances:  func() (int, int) { return f.exchange.Instances() },
 		Broadcast:  func(facts []crashers.Fact, complete bool) { f.exchange.TellCrashes(facts, complete) },
 		OnStopped:  func(r crashers.Request) { f.forwarder.StopRequest(r) },
@@ -198,7 +198,7 @@
 			ID: s.Instance.ID, Callers: s.Listen.Callers, Peers: s.Listen.Peers, DataCentre: s.Instance.DataCentre, Region: s.Instance.Region,
 			Link: int(s.Process.Link),
 		},
-		Conn: l.peerDatagrams, Store: f.store, Ready: f.ready, Access: f.storeAccess, Endpoints: &peerEndpoints{f}, Crashes: f.crashes, Rollouts: f.exchangeRollouts(), Uses: f.retryCounts, Clock: f.env.Clock, Log: t.Log, Scope: t.Scope,
+		Conn: l.peerDatagrams, Store: f.store, Ready: f.ready, StoreAccess: f.storeAccess, Endpoints: &peerEndpoints{f}, Crashes: f.crashes, Rollouts: f.exchangeRollouts(), ServiceCounts: f.retryCounts, Clock: f.env.Clock, Log: t.Log, Scope: t.Scope,
 	})
 	f.relay = relay.New(relay.Options{
 		Settings: f.sourceSettings(), Store: f.store, Mirror: f.mirror, Others: f.exchange.Others,
@@ -237,7 +237,7 @@
 // from another instance. It starts once the exchange has looked for the other instances.
 func (f *Front) runFollowers(ctx context.Context) {
 	select {
-	case <-f.exchange.Met():
+	case <-f.exchange.DiscoveryDone():
 	case <-ctx.Done():
 		return
 	}
--- a/gateway/front/peer_endpoints.go
+++ b/gateway/front/peer_endpoints.go
@@ -13,7 +13,7 @@
 // [exchange.Endpoints].
 type peerEndpoints struct{ f *Front }
 
-func (s *peerEndpoints) Told() routing.PeerReport {
+func (s *peerEndpoints) OwnReport() routing.PeerReport {
 	f := s.f
 	if !f.settings.Mechanisms.Announcements {
 		return routing.PeerReport{}
@@ -23,7 +23,7 @@
 	return t
 }
 
-func (s *peerEndpoints) Heard(instance string, t routing.PeerReport, uses map[string]limits.RetryCounts) {
+func (s *peerEndpoints) SetPeerReport(instance string, t routing.PeerReport, uses map[string]limits.RetryCounts) {
 	f := s.f
 	f.placement.SetPeer(instance, t)
 	if len(t.Ended) > 0 {
@@ -32,7 +32,7 @@
 	f.forwarder.SetPeerRetryCounts(instance, uses)
 }
 
-func (s *peerEndpoints) Counted(instance string, uses map[string]limits.RetryCounts) {
+func (s *peerEndpoints) SetPeerCounts(instance string, uses map[string]limits.RetryCounts) {
 	s.f.forwarder.SetPeerRetryCounts(instance, uses)
 }
 
@@ -46,7 +46,7 @@
 	return s.f.placement.Claim(endpoint, peer, c)
 }
 
-func (s *peerEndpoints) Learn(summary *routing.Summary, prompt uint64) {
+func (s *peerEndpoints) ApplySummary(summary *routing.Summary, prompt uint64) {
 	s.f.placement.ApplySummary(summary, prompt)
 }
 
--- a/gateway/front/serve.go
+++ b/gateway/front/serve.go
@@ -66,7 +66,7 @@
 
 func (f *Front) answerResolve(w http.ResponseWriter, r *http.Request) {
 	place := platform.ReadClientLocation(r.URL.Query())
-	addresses := f.exchange.Entry(place.DataCentre, place.Region)
+	addresses := f.exchange.EntryAddresses(place.DataCentre, place.Region)
 	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
