--- a/gateway/exchange/propagation_test.go
+++ b/gateway/exchange/propagation_test.go
@@ -30,7 +30,7 @@
 
 // TestRetriesReachAllWithinQuarterSecond: all retries but a few are known to all instances within
 // 250 ms, since all count against one limit. With digests twice a second only, the fleet would
-// exceed it by a third when all engines refuse (limits.TestLargeFleetKeepsTheWindow).
+// exceed it by a third when all engines refuse (limits.TestLargeFleetRetriesStayWithinBound).
 func TestRetriesReachAllWithinQuarterSecond(t *testing.T) {
 	const size = 100
 	runFleet(t, size, true, func(w *fleet) {
