--- a/gateway/forward/copies.go
+++ b/gateway/forward/copies.go
@@ -218,7 +218,7 @@
 	if a := s.currentAttempt(); a == nil || a.number != m.attempt {
 		return
 	}
-	s.f.Log.Decision(s.req.ID, "copy finished", logrus.Fields{"from": m.endpoint, "to": m.holder.Endpoint, "events": s.relayedEvents, "error": errorText(m.err)})
+	s.f.Log.Decision(s.req.ID, "copied", logrus.Fields{"from": m.endpoint, "to": m.holder.Endpoint, "events": s.relayedEvents, "error": errorText(m.err)})
 	s.copies.CopyEnded(now, m.holder)
 	s.accountCopy(m.holder.Endpoint)
 }
--- a/gateway/rollouts/rollouts.go
+++ b/gateway/rollouts/rollouts.go
@@ -187,7 +187,7 @@
 	if s.order.State() == before {
 		return false
 	}
-	r.Log.WithFields(logrus.Fields{"service": s.name, "target": o.Target, "state": o.State.String(), "before": before.String()}).Info("rollout changed state")
+	r.Log.WithFields(logrus.Fields{"service": s.name, "target": o.Target, "state": o.State.String(), "before": before.String()}).Info("rollout")
 	return true
 }
 
